--- a/bench/enginemodel.py
+++ b/bench/enginemodel.py
@@ -17,9 +17,9 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from amaranthrail.policy.crest import Crest, StreamWish, begins
 from amaranthrail.policy.placement import UpstreamView, place
 from amaranthrail.policy.returns import return_later
+from amaranthrail.policy.streamadmission import Crest, StreamWish, begins
 
 _MS = 1000.0
 #: Pause in which a caller gives a stream up, in ms.
--- a/bench/wave.py
+++ b/bench/wave.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from types import MappingProxyType
 
-from amaranthrail.policy.crest import begins
+from amaranthrail.policy.streamadmission import begins
 
 from . import report
 from .enginemodel import (
--- a/src/amaranthrail/direct/call.py
+++ b/src/amaranthrail/direct/call.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ..adapters.httpserver import HttpRequest
-from ..policy.crest import Crest
+from ..policy.streamadmission import Crest
 from ..types import HeaderList, Millis, OrganisationName, ServiceName
 from .deployment import Route
 from .ports import CallFacts
--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -13,9 +13,9 @@
 from ..adapters.problem import send_refusal
 from ..clock import Clock, move_on_after
 from ..outcomes import Reason, Refusal, not_run, unknown
-from ..policy.crest import Crest, StreamWish, begins
 from ..policy.placement import UpstreamView, place
 from ..policy.returns import return_after, return_later
+from ..policy.streamadmission import Crest, StreamWish, begins
 from ..types import DomainName, HeaderList
 from .attempt import Attempts
 from .call import Call, Choice, Failure, StreamPace, WholeAnswer
--- a/tests/test_wave.py
+++ b/tests/test_wave.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from amaranthrail.policy.crest import Crest, StreamWish, begins
 from amaranthrail.policy.returns import MAX_RETURN_SHARE, return_later
+from amaranthrail.policy.streamadmission import Crest, StreamWish, begins
 from bench.enginemodel import End, begin_all
 from bench.wave import SCENES, returned, serve, worst_windows, worth
 
