--- a/bench/enginemodel.py
+++ b/bench/enginemodel.py
@@ -17,8 +17,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from amaranthrail.policy.placement import UpstreamView, place
 from amaranthrail.policy.returns import return_later
+from amaranthrail.policy.selection import UpstreamView, place
 from amaranthrail.policy.streamadmission import Crest, StreamWish, begins
 
 _MS = 1000.0
--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -13,8 +13,8 @@
 from ..adapters.problem import send_refusal
 from ..clock import Clock, move_on_after
 from ..outcomes import Reason, Refusal, not_run, unknown
-from ..policy.placement import UpstreamView, place
 from ..policy.returns import return_after, return_later
+from ..policy.selection import UpstreamView, place
 from ..policy.streamadmission import Crest, StreamWish, begins
 from ..types import DomainName, HeaderList
 from .attempt import Attempts
--- a/src/amaranthrail/direct/upstreams.py
+++ b/src/amaranthrail/direct/upstreams.py
@@ -8,7 +8,7 @@
 from ..clock import Clock
 from ..logs import part_logger
 from ..policy.outliers import Health
-from ..policy.placement import UpstreamView, age_others
+from ..policy.selection import UpstreamView, age_others
 from ..types import DomainName, ServiceName
 from .deployment import AgeKey, UpstreamRecord, UpstreamState
 from .pace import ServicePace
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -16,18 +16,18 @@
     under_pressure,
 )
 from amaranthrail.policy.outliers import MAX_PAUSE_MS, Health
-from amaranthrail.policy.placement import (
-    MAX_LOAD_PER_SLOT,
-    UpstreamView,
-    age_others,
-    place,
-)
 from amaranthrail.policy.repeats import RepeatBudget
 from amaranthrail.policy.returns import (
     MIN_RETURN_MS,
     RETURN_SPREAD_MS,
     return_after,
 )
+from amaranthrail.policy.selection import (
+    MAX_LOAD_PER_SLOT,
+    UpstreamView,
+    age_others,
+    place,
+)
 from amaranthrail.ranks.keeper import CYCLE_MS
 
 GAP_MS = 120.0
--- a/tests/test_shared_loads.py
+++ b/tests/test_shared_loads.py
@@ -14,7 +14,7 @@
 from amaranthrail.direct.news import Report, decode_report, encode_message
 from amaranthrail.direct.ports import ReportedLoad
 from amaranthrail.direct.upstreams import Upstream
-from amaranthrail.policy.placement import UpstreamView, place
+from amaranthrail.policy.selection import UpstreamView, place
 from amaranthrail.types import DomainName, ServiceName
 
 ENTRIES = 12
