--- a/bench/subset.py
+++ b/bench/subset.py
@@ -9,7 +9,7 @@
 
 from amaranthrail.frames import Heartbeat, encode_frame
 from amaranthrail.manifest import PickPolicy
-from amaranthrail.policy.pick import Candidate, make_picker
+from amaranthrail.policy.balancing import Candidate, make_picker
 from amaranthrail.policy.subset import choose_subset
 from amaranthrail.ports import HostRecord, HostState
 from amaranthrail.types import DomainName, ServiceName, UpstreamName
--- a/src/amaranthrail/entry/core.py
+++ b/src/amaranthrail/entry/core.py
@@ -9,7 +9,7 @@
 from ..manifest import AdmissionPolicy, Service
 from ..outcomes import Reason, Refusal, not_run
 from ..policy.admission import Demand, FairShares, admit
-from ..policy.pick import Picker, make_picker
+from ..policy.balancing import Picker, make_picker
 from ..policy.retries import RetryBudget
 from ..runtime import Runtime
 from ..settings import EntrySettings
--- a/src/amaranthrail/entry/load.py
+++ b/src/amaranthrail/entry/load.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from ..frames import Dispatch, Heartbeat
+from ..policy.balancing import Candidate
 from ..policy.loads import (
     NO_WORK,
     ReplicaLoad,
@@ -10,7 +11,6 @@
     expected_wait,
     report_weight,
 )
-from ..policy.pick import Candidate
 
 
 class LoadTracker:
--- a/src/amaranthrail/entry/peers.py
+++ b/src/amaranthrail/entry/peers.py
@@ -40,7 +40,7 @@
 )
 from ..logs import part_logger
 from ..outcomes import Reason, unknown
-from ..policy.pick import Candidate
+from ..policy.balancing import Candidate
 from ..ports import HostRecord, HostState
 from ..runtime import Runtime
 from ..settings import EntrySettings
--- a/src/amaranthrail/entry/settlement.py
+++ b/src/amaranthrail/entry/settlement.py
@@ -6,7 +6,7 @@
 from ..clock import MS_PER_SECOND, move_on_after, sleep
 from ..logs import part_logger
 from ..outcomes import Outcome, Reason, not_run, unknown
-from ..policy.pick import rendezvous
+from ..policy.balancing import rendezvous
 from ..records import FilingState, Intent
 from ..types import FilingKey
 from .conclusions import Answer, Conclusions, recorded_answer
--- a/src/amaranthrail/entry/upkeep.py
+++ b/src/amaranthrail/entry/upkeep.py
@@ -8,7 +8,7 @@
 from ..exceptions import LogUnavailableError
 from ..follower import Follower
 from ..logs import part_logger
-from ..policy.pick import rendezvous
+from ..policy.balancing import rendezvous
 from ..ports import LogPort
 from ..records import (
     CONTROL_STREAM,
--- a/src/amaranthrail/policy/subset.py
+++ b/src/amaranthrail/policy/subset.py
@@ -7,7 +7,7 @@
 from functools import partial
 
 from ..ports import HostRecord
-from .pick import rendezvous
+from .balancing import rendezvous
 
 
 def choose_subset(
