--- a/src/amaranthrail/ranks/keeper.py
+++ b/src/amaranthrail/ranks/keeper.py
@@ -12,7 +12,7 @@
 from ..direct.upstreams import Upstream
 from ..direct.world import World
 from ..logs import part_logger
-from ..policy.mapchanges import can_follow
+from ..policy.rebalancing import can_follow
 from ..types import ServiceName
 from .leader import Leader
 from .ports import RankPort
--- a/src/amaranthrail/ranks/leader.py
+++ b/src/amaranthrail/ranks/leader.py
@@ -18,7 +18,7 @@
     plan_set,
     set_skew,
 )
-from ..policy.mapchanges import counts_due, is_warm, pays
+from ..policy.rebalancing import counts_due, is_warm, pays
 from .change import ChangeOutcome, MapChange, Target, ask_all
 from .ports import (
     MapOrder,
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -7,7 +7,8 @@
 import pytest
 
 from amaranthrail.policy.leaving import may_end, takes_call
-from amaranthrail.policy.mapchanges import (
+from amaranthrail.policy.outliers import MAX_PAUSE_MS, Health
+from amaranthrail.policy.rebalancing import (
     PRESSED_INTERVAL_MS,
     WARM_INTERVAL_MS,
     can_follow,
@@ -15,7 +16,6 @@
     pays,
     under_pressure,
 )
-from amaranthrail.policy.outliers import MAX_PAUSE_MS, Health
 from amaranthrail.policy.repeats import RepeatBudget
 from amaranthrail.policy.returns import (
     MIN_RETURN_MS,
