--- a/src/amaranthrail/direct/departure.py
+++ b/src/amaranthrail/direct/departure.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..policy.leaving import FINISH_SHARE, may_end, takes_call
+from ..policy.shutdown import FINISH_SHARE, may_end, takes_call
 from ..types import Millis
 from .call import Call
 from .members import Members
--- a/tests/test_direct_path.py
+++ b/tests/test_direct_path.py
@@ -9,7 +9,7 @@
 
 from amaranthrail.adapters.httpclient import HttpAnswer
 from amaranthrail.exceptions import HttpError
-from amaranthrail.policy.leaving import STREAM_INTAKE_MS
+from amaranthrail.policy.shutdown import STREAM_INTAKE_MS
 from standins.keyedlog import KeyedLog, StoreFault
 from standins.platformfleet import listen
 from standins.replica import EVENTS, Behaviour
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -6,7 +6,6 @@
 
 import pytest
 
-from amaranthrail.policy.leaving import may_end, takes_call
 from amaranthrail.policy.outliers import MAX_PAUSE_MS, Health
 from amaranthrail.policy.rebalancing import (
     PRESSED_INTERVAL_MS,
@@ -28,6 +27,7 @@
     age_others,
     place,
 )
+from amaranthrail.policy.shutdown import may_end, takes_call
 from amaranthrail.ranks.keeper import CYCLE_MS
 
 GAP_MS = 120.0
