--- a/src/amaranthrail/direct/repeats.py
+++ b/src/amaranthrail/direct/repeats.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from ..clock import Clock
-from ..policy.repeats import RepeatBudget
+from ..policy.windowbudget import RepeatBudget
 from ..types import ServiceName
 from .settings import RepeatBounds
 
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -15,7 +15,6 @@
     pays,
     under_pressure,
 )
-from amaranthrail.policy.repeats import RepeatBudget
 from amaranthrail.policy.returns import (
     MIN_RETURN_MS,
     RETURN_SPREAD_MS,
@@ -28,6 +27,7 @@
     place,
 )
 from amaranthrail.policy.shutdown import may_end, takes_call
+from amaranthrail.policy.windowbudget import RepeatBudget
 from amaranthrail.ranks.keeper import CYCLE_MS
 
 GAP_MS = 120.0
