--- a/bench/enginemodel.py
+++ b/bench/enginemodel.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from amaranthrail.policy.returns import return_later
+from amaranthrail.policy.retryafter import return_later
 from amaranthrail.policy.selection import UpstreamView, place
 from amaranthrail.policy.streamadmission import Crest, StreamWish, begins
 
--- a/src/amaranthrail/direct/callers.py
+++ b/src/amaranthrail/direct/callers.py
@@ -8,7 +8,7 @@
 from ..adapters.problem import send_refusal
 from ..clock import Clock
 from ..outcomes import Reason, Refusal, not_run
-from ..policy.returns import return_after
+from ..policy.retryafter import return_after
 from ..types import Millis, OrganisationName, ServiceName
 from .call import Call
 from .departure import Departure
--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -13,7 +13,7 @@
 from ..adapters.problem import send_refusal
 from ..clock import Clock, move_on_after
 from ..outcomes import Reason, Refusal, not_run, unknown
-from ..policy.returns import return_after, return_later
+from ..policy.retryafter import return_after, return_later
 from ..policy.selection import UpstreamView, place
 from ..policy.streamadmission import Crest, StreamWish, begins
 from ..types import DomainName, HeaderList
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -15,7 +15,7 @@
     pays,
     under_pressure,
 )
-from amaranthrail.policy.returns import (
+from amaranthrail.policy.retryafter import (
     MIN_RETURN_MS,
     RETURN_SPREAD_MS,
     return_after,
--- a/tests/test_wave.py
+++ b/tests/test_wave.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from amaranthrail.policy.returns import MAX_RETURN_SHARE, return_later
+from amaranthrail.policy.retryafter import MAX_RETURN_SHARE, return_later
 from amaranthrail.policy.streamadmission import Crest, StreamWish, begins
 from bench.enginemodel import End, begin_all
 from bench.wave import SCENES, returned, serve, worst_windows, worth
