--- a/src/amaranthrail/direct/silence.py
+++ b/src/amaranthrail/direct/silence.py
@@ -9,7 +9,7 @@
 import trio
 
 from ..clock import Clock, sleep
-from ..policy.silence import is_alone
+from ..policy.stalls import is_alone
 from .pace import ServicePace
 
 #: Time between two looks at all streams, in ms: a fifth of the silence that is
--- a/tests/test_silence.py
+++ b/tests/test_stalls.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from amaranthrail.policy.silence import MAX_SILENCE_MS, is_alone
+from amaranthrail.policy.stalls import MAX_SILENCE_MS, is_alone
 
 PASS_MS = 90.0
 
