--- a/bench/enginemodel.py
+++ b/bench/enginemodel.py
@@ -19,7 +19,7 @@
 
 from amaranthrail.policy.retryafter import return_later
 from amaranthrail.policy.selection import UpstreamView, place
-from amaranthrail.policy.streamadmission import Crest, StreamWish, begins
+from amaranthrail.policy.streamadmission import EngineLoad, StreamWish, begins
 
 _MS = 1000.0
 #: Pause in which a caller gives a stream up, in ms.
@@ -108,10 +108,10 @@
         return len(self.running) + len(self.waiting)
 
 
-Begin = Callable[[StreamWish, Crest], bool]
+Begin = Callable[[StreamWish, EngineLoad], bool]
 
 
-def begin_all(_wish: StreamWish, _crest: Crest) -> bool:
+def begin_all(_wish: StreamWish, _crest: EngineLoad) -> bool:
     """Let every stream begin at once: what is compared with."""
     return True
 
@@ -199,9 +199,9 @@
             stream.refused += 1
             self._push(at_ms + return_later(left_ms, self._random), stream)
 
-    def _crest(self, views: list[UpstreamView]) -> Crest:
+    def _crest(self, views: list[UpstreamView]) -> EngineLoad:
         least_load = min(view.load_per_slot for view in views)
-        return Crest(least_load, self._pass_ms)
+        return EngineLoad(least_load, self._pass_ms)
 
     def _pass_time(self, now: float) -> float:
         """Return how long the next pass takes; streams begin with it."""
--- a/src/amaranthrail/direct/call.py
+++ b/src/amaranthrail/direct/call.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ..adapters.httpserver import HttpRequest
-from ..policy.streamadmission import Crest
+from ..policy.streamadmission import EngineLoad
 from ..types import HeaderList, Millis, OrganisationName, ServiceName
 from .deployment import Route
 from .ports import CallFacts
@@ -47,7 +47,7 @@
     unreached: int = 0
     may_have_run: bool = False
     choices: list[Choice] = msgspec.field(default_factory=list)
-    crest: Crest | None = None
+    crest: EngineLoad | None = None
     repeat_counted: bool = False
 
     @property
--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -15,7 +15,7 @@
 from ..outcomes import Reason, Refusal, not_run, unknown
 from ..policy.retryafter import return_after, return_later
 from ..policy.selection import UpstreamView, place
-from ..policy.streamadmission import Crest, StreamWish, begins
+from ..policy.streamadmission import EngineLoad, StreamWish, begins
 from ..types import DomainName, HeaderList
 from .attempt import Attempts
 from .call import Call, Choice, Failure, StreamPace, WholeAnswer
@@ -154,7 +154,7 @@
         engine = None if service is None else service.engine
         if not views or engine is None or not call.route.streaming:
             return True
-        call.crest = Crest(
+        call.crest = EngineLoad(
             min(view.load_per_slot for view in views),
             self._world.directory.pace(call.service).pass_ms,
         )
--- a/src/amaranthrail/policy/streamadmission.py
+++ b/src/amaranthrail/policy/streamadmission.py
@@ -23,7 +23,7 @@
 FRESH_TIME_SHARE = 0.85
 
 
-class Crest(msgspec.Struct, frozen=True):
+class EngineLoad(msgspec.Struct, frozen=True):
     """Describe how engines stand when a stream asks for one.
 
     ``least_load`` is the work per slot of the least loaded engine with the new
@@ -55,7 +55,7 @@
         )
 
 
-def begins(wish: StreamWish, crest: Crest) -> bool:
+def begins(wish: StreamWish, crest: EngineLoad) -> bool:
     """Tell whether a stream begins now; otherwise its caller returns."""
     # How much of a stream is left is not known.
     if crest.pass_ms is not None and not wish.continued:
--- a/tests/test_wave.py
+++ b/tests/test_wave.py
@@ -7,7 +7,7 @@
 import pytest
 
 from amaranthrail.policy.retryafter import MAX_RETURN_SHARE, return_later
-from amaranthrail.policy.streamadmission import Crest, StreamWish, begins
+from amaranthrail.policy.streamadmission import EngineLoad, StreamWish, begins
 from bench.enginemodel import End, begin_all
 from bench.wave import SCENES, returned, serve, worst_windows, worth
 
@@ -45,16 +45,16 @@
 
 
 def test_full_engines_take_those_who_came_before() -> None:
-    full = Crest(least_load=1.2, pass_ms=100)
+    full = EngineLoad(least_load=1.2, pass_ms=100)
     assert not begins(FRESH, full)
     assert begins(RETURNED, full)
     assert begins(StreamWish(8000, 8000, continued=True), full)
-    assert not begins(RETURNED, Crest(least_load=2, pass_ms=100))
+    assert not begins(RETURNED, EngineLoad(least_load=2, pass_ms=100))
 
 
 def test_a_stream_that_cannot_end_does_not_begin() -> None:
     """Replays a rank at twelve times its pace: passes of 830 ms."""
-    free = Crest(least_load=0.2, pass_ms=830)
+    free = EngineLoad(least_load=0.2, pass_ms=830)
     assert not begins(StreamWish(8000, 8000, passes=23), free)
     assert begins(StreamWish(8000, 8000, passes=8), free)
     assert begins(StreamWish(8000, 8000), free)
