--- a/src/amaranthrail/direct/journal.py
+++ b/src/amaranthrail/direct/journal.py
@@ -152,7 +152,7 @@
     crest = call.crest
     if crest is None:
         return None
-    pass_text = 'unknown' if crest.pass_ms is None else f'{crest.pass_ms:.0f}'
+    pass_text = 'unknown' if crest.step_ms is None else f'{crest.step_ms:.0f}'
     return f'least load {crest.least_load:.2f}, pass ms {pass_text}'
 
 
--- a/src/amaranthrail/policy/streamadmission.py
+++ b/src/amaranthrail/policy/streamadmission.py
@@ -27,11 +27,11 @@
     """Describe how engines stand when a stream asks for one.
 
     ``least_load`` is the work per slot of the least loaded engine with the new
-    stream, ``pass_ms`` the time of a pass lately, None where no stream runs.
+    stream, ``step_ms`` the time of a pass lately, None where no stream runs.
     """
 
     least_load: float
-    pass_ms: float | None
+    step_ms: float | None
 
 
 class StreamWish(msgspec.Struct, frozen=True):
@@ -58,8 +58,8 @@
 def begins(wish: StreamWish, crest: EngineLoad) -> bool:
     """Tell whether a stream begins now; otherwise its caller returns."""
     # How much of a stream is left is not known.
-    if crest.pass_ms is not None and not wish.continued:
-        sure_ms = SURE_LENGTH_SHARE * wish.passes * crest.pass_ms
+    if crest.step_ms is not None and not wish.continued:
+        sure_ms = SURE_LENGTH_SHARE * wish.passes * crest.step_ms
         if sure_ms > wish.left_ms:
             return False
     limit = FRESH_LOAD if wish.is_fresh else RETURNED_LOAD
--- a/tests/test_wave.py
+++ b/tests/test_wave.py
@@ -45,16 +45,16 @@
 
 
 def test_full_engines_take_those_who_came_before() -> None:
-    full = EngineLoad(least_load=1.2, pass_ms=100)
+    full = EngineLoad(least_load=1.2, step_ms=100)
     assert not begins(FRESH, full)
     assert begins(RETURNED, full)
     assert begins(StreamWish(8000, 8000, continued=True), full)
-    assert not begins(RETURNED, EngineLoad(least_load=2, pass_ms=100))
+    assert not begins(RETURNED, EngineLoad(least_load=2, step_ms=100))
 
 
 def test_a_stream_that_cannot_end_does_not_begin() -> None:
     """Replays a rank at twelve times its pace: passes of 830 ms."""
-    free = EngineLoad(least_load=0.2, pass_ms=830)
+    free = EngineLoad(least_load=0.2, step_ms=830)
     assert not begins(StreamWish(8000, 8000, passes=23), free)
     assert begins(StreamWish(8000, 8000, passes=8), free)
     assert begins(StreamWish(8000, 8000), free)
