--- a/bench/enginemodel.py
+++ b/bench/enginemodel.py
@@ -19,7 +19,11 @@
 
 from amaranthrail.policy.retryafter import return_later
 from amaranthrail.policy.selection import UpstreamView, place
-from amaranthrail.policy.streamadmission import EngineLoad, StreamWish, begins
+from amaranthrail.policy.streamadmission import (
+    EngineLoad,
+    StreamRequest,
+    begins,
+)
 
 _MS = 1000.0
 #: Pause in which a caller gives a stream up, in ms.
@@ -108,10 +112,10 @@
         return len(self.running) + len(self.waiting)
 
 
-Begin = Callable[[StreamWish, EngineLoad], bool]
+Begin = Callable[[StreamRequest, EngineLoad], bool]
 
 
-def begin_all(_wish: StreamWish, _crest: EngineLoad) -> bool:
+def begin_all(_wish: StreamRequest, _crest: EngineLoad) -> bool:
     """Let every stream begin at once: what is compared with."""
     return True
 
@@ -187,7 +191,7 @@
         ]
         chosen = place(views, self._random)
         crest = self._crest(views)
-        wish = StreamWish(left_ms, self._demand.deadline_ms, stream.hint)
+        wish = StreamRequest(left_ms, self._demand.deadline_ms, stream.hint)
         if chosen is not None and self._begin(wish, crest):
             number = int(chosen.name)
             self._seen[number] += 1
--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -15,7 +15,7 @@
 from ..outcomes import Reason, Refusal, not_run, unknown
 from ..policy.retryafter import return_after, return_later
 from ..policy.selection import UpstreamView, place
-from ..policy.streamadmission import EngineLoad, StreamWish, begins
+from ..policy.streamadmission import EngineLoad, StreamRequest, begins
 from ..types import DomainName, HeaderList
 from .attempt import Attempts
 from .call import Call, Choice, Failure, StreamPace, WholeAnswer
@@ -158,7 +158,7 @@
             min(view.load_per_slot for view in views),
             self._world.directory.pace(call.service).pass_ms,
         )
-        wish = StreamWish(
+        wish = StreamRequest(
             left_ms=call.deadline - self._clock.now(),
             route_ms=call.route.timeout_ms,
             passes=call.facts.expected_tokens / engine.tokens_per_pass,
--- a/src/amaranthrail/policy/streamadmission.py
+++ b/src/amaranthrail/policy/streamadmission.py
@@ -34,7 +34,7 @@
     step_ms: float | None
 
 
-class StreamWish(msgspec.Struct, frozen=True):
+class StreamRequest(msgspec.Struct, frozen=True):
     """Describe a stream that a caller asks for.
 
     ``passes`` is the expected number of passes that write all of it, 0 if
@@ -55,7 +55,7 @@
         )
 
 
-def begins(wish: StreamWish, crest: EngineLoad) -> bool:
+def begins(wish: StreamRequest, crest: EngineLoad) -> bool:
     """Tell whether a stream begins now; otherwise its caller returns."""
     # How much of a stream is left is not known.
     if crest.step_ms is not None and not wish.continued:
--- a/tests/test_wave.py
+++ b/tests/test_wave.py
@@ -7,15 +7,19 @@
 import pytest
 
 from amaranthrail.policy.retryafter import MAX_RETURN_SHARE, return_later
-from amaranthrail.policy.streamadmission import EngineLoad, StreamWish, begins
+from amaranthrail.policy.streamadmission import (
+    EngineLoad,
+    StreamRequest,
+    begins,
+)
 from bench.enginemodel import End, begin_all
 from bench.wave import SCENES, returned, serve, worst_windows, worth
 
 SEEDS = (1, 2)
 #: Share of the callers that were refused once and must be served on return.
 SERVED_ON_RETURN = 0.8
-FRESH = StreamWish(left_ms=8000, route_ms=8000)
-RETURNED = StreamWish(left_ms=6000, route_ms=8000)
+FRESH = StreamRequest(left_ms=8000, route_ms=8000)
+RETURNED = StreamRequest(left_ms=6000, route_ms=8000)
 
 
 @pytest.mark.parametrize('seed', SEEDS)
@@ -48,17 +52,17 @@
     full = EngineLoad(least_load=1.2, step_ms=100)
     assert not begins(FRESH, full)
     assert begins(RETURNED, full)
-    assert begins(StreamWish(8000, 8000, continued=True), full)
+    assert begins(StreamRequest(8000, 8000, continued=True), full)
     assert not begins(RETURNED, EngineLoad(least_load=2, step_ms=100))
 
 
 def test_a_stream_that_cannot_end_does_not_begin() -> None:
     """Replays a rank at twelve times its pace: passes of 830 ms."""
     free = EngineLoad(least_load=0.2, step_ms=830)
-    assert not begins(StreamWish(8000, 8000, passes=23), free)
-    assert begins(StreamWish(8000, 8000, passes=8), free)
-    assert begins(StreamWish(8000, 8000), free)
-    assert begins(StreamWish(8000, 8000, passes=23, continued=True), free)
+    assert not begins(StreamRequest(8000, 8000, passes=23), free)
+    assert begins(StreamRequest(8000, 8000, passes=8), free)
+    assert begins(StreamRequest(8000, 8000), free)
+    assert begins(StreamRequest(8000, 8000, passes=23, continued=True), free)
 
 
 def test_refused_callers_return_spread_within_their_time() -> None:
