--- a/bench/enginemodel.py
+++ b/bench/enginemodel.py
@@ -22,7 +22,7 @@
 from amaranthrail.policy.streamadmission import (
     EngineLoad,
     StreamRequest,
-    begins,
+    should_admit_stream,
 )
 
 _MS = 1000.0
@@ -127,7 +127,7 @@
         self,
         law: EngineLaw,
         demand: Demand,
-        begin: Begin = begins,
+        begin: Begin = should_admit_stream,
         seed: int = 1,
     ) -> None:
         """Take the engines, the callers and who begins."""
--- a/bench/wave.py
+++ b/bench/wave.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from types import MappingProxyType
 
-from amaranthrail.policy.streamadmission import begins
+from amaranthrail.policy.streamadmission import should_admit_stream
 
 from . import report
 from .enginemodel import (
@@ -50,7 +50,7 @@
     },
 )
 WAYS: Mapping[str, Begin] = MappingProxyType(
-    {'all begin': begin_all, 'chosen': begins},
+    {'all begin': begin_all, 'chosen': should_admit_stream},
 )
 
 
--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -15,7 +15,11 @@
 from ..outcomes import Reason, Refusal, not_run, unknown
 from ..policy.retryafter import return_after, return_later
 from ..policy.selection import UpstreamView, place
-from ..policy.streamadmission import EngineLoad, StreamRequest, begins
+from ..policy.streamadmission import (
+    EngineLoad,
+    StreamRequest,
+    should_admit_stream,
+)
 from ..types import DomainName, HeaderList
 from .attempt import Attempts
 from .call import Call, Choice, Failure, StreamPace, WholeAnswer
@@ -164,7 +168,7 @@
             passes=call.facts.expected_tokens / engine.tokens_per_pass,
             continued=call.facts.last_event is not None,
         )
-        return begins(wish, call.crest)
+        return should_admit_stream(wish, call.crest)
 
     def _may_leave(self, call: Call) -> bool:
         """Tell whether a stream may leave its upstream, and count that."""
--- a/src/amaranthrail/policy/streamadmission.py
+++ b/src/amaranthrail/policy/streamadmission.py
@@ -55,8 +55,8 @@
         )
 
 
-def begins(wish: StreamRequest, crest: EngineLoad) -> bool:
-    """Tell whether a stream begins now; otherwise its caller returns."""
+def should_admit_stream(wish: StreamRequest, crest: EngineLoad) -> bool:
+    """Tell whether a stream is admitted now; otherwise its caller returns."""
     # How much of a stream is left is not known.
     if crest.step_ms is not None and not wish.continued:
         sure_ms = SURE_LENGTH_SHARE * wish.passes * crest.step_ms
--- a/tests/test_wave.py
+++ b/tests/test_wave.py
@@ -10,7 +10,7 @@
 from amaranthrail.policy.streamadmission import (
     EngineLoad,
     StreamRequest,
-    begins,
+    should_admit_stream,
 )
 from bench.enginemodel import End, begin_all
 from bench.wave import SCENES, returned, serve, worst_windows, worth
@@ -25,7 +25,7 @@
 @pytest.mark.parametrize('seed', SEEDS)
 def test_a_wave_beyond_capacity_is_served_in_time(seed: int) -> None:
     demand = SCENES['wave beyond capacity']
-    chosen = serve(demand, begins, seed)
+    chosen = serve(demand, should_admit_stream, seed)
     baseline = serve(demand, begin_all, seed)
     assert worth(chosen) > worth(baseline)
     assert worst_windows(chosen) > worst_windows(baseline)
@@ -37,32 +37,36 @@
 @pytest.mark.parametrize('seed', SEEDS)
 def test_a_wave_within_capacity_is_left_alone(seed: int) -> None:
     demand = SCENES['wave within capacity']
-    chosen = serve(demand, begins, seed)
+    chosen = serve(demand, should_admit_stream, seed)
     assert worth(chosen) >= worth(serve(demand, begin_all, seed)) - 0.01
 
 
 @pytest.mark.parametrize('seed', SEEDS)
 def test_streams_that_a_slow_rank_cannot_end_keep_nobody(seed: int) -> None:
     demand = SCENES['a slow rank']
-    chosen = serve(demand, begins, seed)
+    chosen = serve(demand, should_admit_stream, seed)
     assert worth(chosen) > worth(serve(demand, begin_all, seed))
 
 
 def test_full_engines_take_those_who_came_before() -> None:
     full = EngineLoad(least_load=1.2, step_ms=100)
-    assert not begins(FRESH, full)
-    assert begins(RETURNED, full)
-    assert begins(StreamRequest(8000, 8000, continued=True), full)
-    assert not begins(RETURNED, EngineLoad(least_load=2, step_ms=100))
+    assert not should_admit_stream(FRESH, full)
+    assert should_admit_stream(RETURNED, full)
+    assert should_admit_stream(StreamRequest(8000, 8000, continued=True), full)
+    assert not should_admit_stream(
+        RETURNED, EngineLoad(least_load=2, step_ms=100)
+    )
 
 
 def test_a_stream_that_cannot_end_does_not_begin() -> None:
     """Replays a rank at twelve times its pace: passes of 830 ms."""
     free = EngineLoad(least_load=0.2, step_ms=830)
-    assert not begins(StreamRequest(8000, 8000, passes=23), free)
-    assert begins(StreamRequest(8000, 8000, passes=8), free)
-    assert begins(StreamRequest(8000, 8000), free)
-    assert begins(StreamRequest(8000, 8000, passes=23, continued=True), free)
+    assert not should_admit_stream(StreamRequest(8000, 8000, passes=23), free)
+    assert should_admit_stream(StreamRequest(8000, 8000, passes=8), free)
+    assert should_admit_stream(StreamRequest(8000, 8000), free)
+    assert should_admit_stream(
+        StreamRequest(8000, 8000, passes=23, continued=True), free
+    )
 
 
 def test_refused_callers_return_spread_within_their_time() -> None:
