--- a/bench/enginemodel.py
+++ b/bench/enginemodel.py
@@ -18,7 +18,7 @@
 from enum import Enum
 
 from amaranthrail.policy.retryafter import return_later
-from amaranthrail.policy.selection import UpstreamView, place
+from amaranthrail.policy.selection import UpstreamView, select_upstream
 from amaranthrail.policy.streamadmission import (
     EngineLoad,
     StreamRequest,
@@ -189,7 +189,7 @@
             UpstreamView(str(number), self._law.slots, work)
             for number, work in enumerate(self._seen)
         ]
-        chosen = place(views, self._random)
+        chosen = select_upstream(views, self._random)
         crest = self._crest(views)
         wish = StreamRequest(left_ms, self._demand.deadline_ms, stream.hint)
         if chosen is not None and self._begin(wish, crest):
--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -14,7 +14,7 @@
 from ..clock import Clock, move_on_after
 from ..outcomes import Reason, Refusal, not_run, unknown
 from ..policy.retryafter import return_after, return_later
-from ..policy.selection import UpstreamView, place
+from ..policy.selection import UpstreamView, select_upstream
 from ..policy.streamadmission import (
     EngineLoad,
     StreamRequest,
@@ -137,7 +137,7 @@
         ]
         if not call.choices and not self._begins(call, views):
             return None
-        view = place(views, self._random)
+        view = select_upstream(views, self._random)
         upstream = None if view is None else directory.find(view.name)
         if view is None or upstream is None:
             return None
--- a/src/amaranthrail/policy/selection.py
+++ b/src/amaranthrail/policy/selection.py
@@ -53,7 +53,7 @@
     return float(others * 0.5 ** (age_ms / REPORT_HALF_LIFE_MS))
 
 
-def place(
+def select_upstream(
     views: Sequence[UpstreamView],
     source: random.Random,
 ) -> UpstreamView | None:
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -24,7 +24,7 @@
     MAX_LOAD_PER_SLOT,
     UpstreamView,
     age_others,
-    place,
+    select_upstream,
 )
 from amaranthrail.policy.shutdown import may_end, takes_call
 from amaranthrail.policy.windowbudget import RepeatBudget
@@ -58,7 +58,7 @@
     own = dict.fromkeys((f'u{one}' for one in range(16)), 0)
     for _ in range(64):
         seen = [UpstreamView(name, 6, count) for name, count in own.items()]
-        chosen = place(seen, source)
+        chosen = select_upstream(seen, source)
         assert chosen is not None
         own[chosen.name] += 1
     assert set(own.values()) == {4}
@@ -67,7 +67,7 @@
 def test_work_of_other_entries_counts() -> None:
     busy = UpstreamView('busy', 6, own=0, others=3)
     free = UpstreamView('free', 6, own=2)
-    chosen = place([busy, free], random.Random(1))
+    chosen = select_upstream([busy, free], random.Random(1))
     assert chosen == free
 
 
@@ -80,22 +80,22 @@
     far = UpstreamView('far', 6, own=1)
     near = UpstreamView('near', 6, own=1, near=True)
     source = random.Random(1)
-    assert {place([far, near], source) for _ in range(20)} == {near}
+    assert {select_upstream([far, near], source) for _ in range(20)} == {near}
 
 
 def test_one_that_failed_lately_is_a_last_resort() -> None:
     failed = UpstreamView('failed', 6, own=0, avoided=True)
     busy = UpstreamView('busy', 6, own=5)
     source = random.Random(1)
-    assert place([failed, busy], source) == busy
-    assert place([failed], source) == failed
+    assert select_upstream([failed, busy], source) == busy
+    assert select_upstream([failed], source) == failed
 
 
 def test_nobody_is_overrun() -> None:
     own = int(6 * MAX_LOAD_PER_SLOT)
     full = [UpstreamView(f'u{one}', 6, own) for one in range(3)]
-    assert place(full, random.Random(1)) is None
-    assert place([], random.Random(1)) is None
+    assert select_upstream(full, random.Random(1)) is None
+    assert select_upstream([], random.Random(1)) is None
 
 
 def test_an_unreachable_upstream_is_left_for_ever_longer() -> None:
--- a/tests/test_shared_loads.py
+++ b/tests/test_shared_loads.py
@@ -14,7 +14,7 @@
 from amaranthrail.direct.news import Report, decode_report, encode_message
 from amaranthrail.direct.ports import ReportedLoad
 from amaranthrail.direct.upstreams import Upstream
-from amaranthrail.policy.selection import UpstreamView, place
+from amaranthrail.policy.selection import UpstreamView, select_upstream
 from amaranthrail.types import DomainName, ServiceName
 
 ENTRIES = 12
@@ -67,7 +67,7 @@
             replace(view, others=sum(each[one] for each in own) - calls[one])
             for one, view in enumerate(views)
         ]
-        chosen = place(told, source)
+        chosen = select_upstream(told, source)
         assert chosen is not None
         calls[int(chosen.name)] += 1
     totals = [sum(each[one] for each in own) for one in range(UPSTREAMS)]
