--- a/src/amaranthrail/direct/upstreams.py
+++ b/src/amaranthrail/direct/upstreams.py
@@ -8,7 +8,7 @@
 from ..clock import Clock
 from ..logs import part_logger
 from ..policy.outliers import Health
-from ..policy.selection import UpstreamView, age_others
+from ..policy.selection import UpstreamView, decay_others
 from ..types import DomainName, ServiceName
 from .deployment import AgeKey, UpstreamRecord, UpstreamState
 from .pace import ServicePace
@@ -102,7 +102,7 @@
         that have lost power.
         """
         now = self._clock.now()
-        others = age_others(self._others, now - self._others_at)
+        others = decay_others(self._others, now - self._others_at)
         return UpstreamView(
             self._record.name,
             self._record.slots,
--- a/src/amaranthrail/policy/selection.py
+++ b/src/amaranthrail/policy/selection.py
@@ -48,7 +48,7 @@
         return self.load_per_slot - NEAR_BONUS * self.near
 
 
-def age_others(others: float, age_ms: float) -> float:
+def decay_others(others: float, age_ms: float) -> float:
     """Return what is left of an estimate of others' work after a while."""
     return float(others * 0.5 ** (age_ms / REPORT_HALF_LIFE_MS))
 
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -23,7 +23,7 @@
 from amaranthrail.policy.selection import (
     MAX_LOAD_PER_SLOT,
     UpstreamView,
-    age_others,
+    decay_others,
     select_upstream,
 )
 from amaranthrail.policy.shutdown import may_end, takes_call
@@ -72,8 +72,8 @@
 
 
 def test_what_was_said_long_ago_counts_less() -> None:
-    assert age_others(4, 0) == pytest.approx(4)
-    assert age_others(4, 8000) == pytest.approx(0, abs=0.01)
+    assert decay_others(4, 0) == pytest.approx(4)
+    assert decay_others(4, 8000) == pytest.approx(0, abs=0.01)
 
 
 def test_an_equal_upstream_nearby_goes_first() -> None:
