--- a/bench/subset.py
+++ b/bench/subset.py
@@ -9,7 +9,7 @@
 
 from amaranthrail.frames import Heartbeat, encode_frame
 from amaranthrail.manifest import PickPolicy
-from amaranthrail.policy.balancing import Candidate, make_picker
+from amaranthrail.policy.balancing import Candidate, make_balancer
 from amaranthrail.policy.subset import choose_subset
 from amaranthrail.ports import HostRecord, HostState
 from amaranthrail.types import DomainName, ServiceName, UpstreamName
@@ -99,7 +99,7 @@
 ) -> float:
     """Return the busiest replica's work over the mean, by two choices."""
     source = random.Random(seed)
-    pick = make_picker(PickPolicy.TWO_CHOICES, source)
+    pick = make_balancer(PickPolicy.TWO_CHOICES, source)
     work: Counter[str] = Counter()
     entries = list(subsets)
     for _ in range(REQUESTS * _ROUNDS):
--- a/src/amaranthrail/entry/core.py
+++ b/src/amaranthrail/entry/core.py
@@ -9,7 +9,7 @@
 from ..manifest import AdmissionPolicy, Service
 from ..outcomes import Reason, Refusal, not_run
 from ..policy.admission import Demand, FairShares, admit
-from ..policy.balancing import Picker, make_picker
+from ..policy.balancing import Picker, make_balancer
 from ..policy.retries import RetryBudget
 from ..runtime import Runtime
 from ..settings import EntrySettings
@@ -164,7 +164,7 @@
     def _picker(self, service: Service) -> Picker:
         pickers = self._policies.pickers
         if service.name not in pickers:
-            pickers[service.name] = make_picker(
+            pickers[service.name] = make_balancer(
                 service.policies.pick,
                 self._random,
             )
--- a/src/amaranthrail/policy/balancing.py
+++ b/src/amaranthrail/policy/balancing.py
@@ -33,7 +33,7 @@
 Picker = Callable[[Sequence[Candidate], str], Candidate]
 
 
-def make_picker(policy: PickPolicy, source: random.Random) -> Picker:
+def make_balancer(policy: PickPolicy, source: random.Random) -> Picker:
     """Return the function that picks under a policy.
 
     It takes the candidates, at least one, and the request's prefix, which
