--- a/src/amaranthrail/entry/core.py
+++ b/src/amaranthrail/entry/core.py
@@ -9,7 +9,7 @@
 from ..manifest import AdmissionPolicy, Service
 from ..outcomes import Reason, Refusal, not_run
 from ..policy.admission import Demand, FairShares, admit
-from ..policy.balancing import Picker, make_balancer
+from ..policy.balancing import Balancer, make_balancer
 from ..policy.retries import RetryBudget
 from ..runtime import Runtime
 from ..settings import EntrySettings
@@ -28,7 +28,7 @@
     """Hold the policies of the manifest in force."""
 
     routes: RouteTable | None = None
-    pickers: dict[str, Picker] = field(default_factory=dict)
+    pickers: dict[str, Balancer] = field(default_factory=dict)
     budget: RetryBudget = field(
         default_factory=lambda: RetryBudget(_DEFAULT_RETRY_SHARE),
     )
@@ -161,7 +161,7 @@
         weights = self.routes.weights if self.routes else {}
         return admit(demand, shares, weights)
 
-    def _picker(self, service: Service) -> Picker:
+    def _picker(self, service: Service) -> Balancer:
         pickers = self._policies.pickers
         if service.name not in pickers:
             pickers[service.name] = make_balancer(
--- a/src/amaranthrail/policy/balancing.py
+++ b/src/amaranthrail/policy/balancing.py
@@ -30,10 +30,10 @@
     busy_ms: float = 0
 
 
-Picker = Callable[[Sequence[Candidate], str], Candidate]
+Balancer = Callable[[Sequence[Candidate], str], Candidate]
 
 
-def make_balancer(policy: PickPolicy, source: random.Random) -> Picker:
+def make_balancer(policy: PickPolicy, source: random.Random) -> Balancer:
     """Return the function that picks under a policy.
 
     It takes the candidates, at least one, and the request's prefix, which
@@ -46,7 +46,7 @@
     return _two_choices(source)
 
 
-def _round_robin() -> Picker:
+def _round_robin() -> Balancer:
     turns = itertools.count()
 
     def pick(candidates: Sequence[Candidate], _prefix: str) -> Candidate:
@@ -55,7 +55,7 @@
     return pick
 
 
-def _two_choices(source: random.Random) -> Picker:
+def _two_choices(source: random.Random) -> Balancer:
     def pick(candidates: Sequence[Candidate], _prefix: str) -> Candidate:
         if len(candidates) == 1:
             return candidates[0]
@@ -65,7 +65,7 @@
     return pick
 
 
-def _affinity(source: random.Random) -> Picker:
+def _affinity(source: random.Random) -> Balancer:
     spread = _two_choices(source)
 
     def pick(candidates: Sequence[Candidate], prefix: str) -> Candidate:
