--- a/src/amaranthrail/direct/repeats.py
+++ b/src/amaranthrail/direct/repeats.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from ..clock import Clock
-from ..policy.windowbudget import RepeatBudget
+from ..policy.windowbudget import WindowRetryBudget
 from ..types import ServiceName
 from .settings import RepeatBounds
 
@@ -23,7 +23,7 @@
         self._bounds = bounds
         self._clock = clock
         self._entries = entries
-        self._budgets: dict[ServiceName, RepeatBudget] = {}
+        self._budgets: dict[ServiceName, WindowRetryBudget] = {}
 
     def take_bounds(self, bounds: RepeatBounds) -> None:
         """Put changed bounds in force; counts begin anew with them."""
@@ -39,11 +39,11 @@
         """Count a repeat if one is left; tell whether it was."""
         return self._budget(service).spend(self._clock.now(), self._entries())
 
-    def _budget(self, service: ServiceName) -> RepeatBudget:
+    def _budget(self, service: ServiceName) -> WindowRetryBudget:
         budget = self._budgets.get(service)
         if budget is None:
             bounds = self._bounds
-            budget = RepeatBudget(
+            budget = WindowRetryBudget(
                 bounds.ratio,
                 bounds.slack,
                 bounds.window_ms,
--- a/src/amaranthrail/policy/windowbudget.py
+++ b/src/amaranthrail/policy/windowbudget.py
@@ -14,7 +14,7 @@
 SAFETY_SHARE = 0.8
 
 
-class RepeatBudget:
+class WindowRetryBudget:
     """Count one service's calls and repeats over a sliding window."""
 
     def __init__(self, ratio: float, slack: float, window_ms: float) -> None:
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -27,7 +27,7 @@
     select_upstream,
 )
 from amaranthrail.policy.shutdown import may_end, takes_call
-from amaranthrail.policy.windowbudget import RepeatBudget
+from amaranthrail.policy.windowbudget import WindowRetryBudget
 from amaranthrail.ranks.keeper import CYCLE_MS
 
 GAP_MS = 120.0
@@ -140,7 +140,9 @@
 def test_repeats_of_all_entries_keep_the_bound(entries: int) -> None:
     """A third of a service fails while callers repeat at once."""
     source = random.Random(entries)
-    budgets = [RepeatBudget(RATIO, SLACK, WINDOW_MS) for _ in range(entries)]
+    budgets = [
+        WindowRetryBudget(RATIO, SLACK, WINDOW_MS) for _ in range(entries)
+    ]
     calls: list[float] = []
     repeats: list[float] = []
     for now in range(0, 40_000, 10):
