--- a/src/amaranthrail/direct/callers.py
+++ b/src/amaranthrail/direct/callers.py
@@ -8,7 +8,7 @@
 from ..adapters.problem import send_refusal
 from ..clock import Clock
 from ..outcomes import Reason, Refusal, not_run
-from ..policy.retryafter import return_after
+from ..policy.retryafter import choose_retry_after_ms
 from ..types import Millis, OrganisationName, ServiceName
 from .call import Call
 from .departure import Departure
@@ -67,7 +67,7 @@
             return not_run(
                 Reason.NO_MANIFEST,
                 'no configuration yet',
-                return_after(self._random),
+                choose_retry_after_ms(self._random),
             )
         host = (request.header('host') or '').partition(':')[0]
         route = deployment.find_route(host, request.path)
--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -13,7 +13,7 @@
 from ..adapters.problem import send_refusal
 from ..clock import Clock, move_on_after
 from ..outcomes import Reason, Refusal, not_run, unknown
-from ..policy.retryafter import return_after, return_later
+from ..policy.retryafter import choose_retry_after_ms, return_later
 from ..policy.selection import UpstreamView, select_upstream
 from ..policy.streamadmission import (
     EngineLoad,
@@ -229,7 +229,7 @@
         return not_run(
             Reason.NO_REPLICA if failed is None else Reason.NO_CAPACITY,
             cause,
-            return_after(self._random),
+            choose_retry_after_ms(self._random),
         )
 
 
--- a/src/amaranthrail/policy/retryafter.py
+++ b/src/amaranthrail/policy/retryafter.py
@@ -21,7 +21,7 @@
 MIN_RETURN_SHARE = 0.3
 
 
-def return_after(source: random.Random) -> int:
+def choose_retry_after_ms(source: random.Random) -> int:
     """Return the milliseconds until a caller should try again."""
     return int(MIN_RETURN_MS + source.uniform(0, RETURN_SPREAD_MS))
 
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -18,7 +18,7 @@
 from amaranthrail.policy.retryafter import (
     MIN_RETURN_MS,
     RETURN_SPREAD_MS,
-    return_after,
+    choose_retry_after_ms,
 )
 from amaranthrail.policy.selection import (
     MAX_LOAD_PER_SLOT,
@@ -162,7 +162,7 @@
 
 def test_callers_that_are_refused_together_return_apart() -> None:
     source = random.Random(1)
-    returns = [return_after(source) for _ in range(300)]
+    returns = [choose_retry_after_ms(source) for _ in range(300)]
     assert min(returns) >= MIN_RETURN_MS
     tenths = [
         int((one - MIN_RETURN_MS) * 10 / RETURN_SPREAD_MS) for one in returns
