--- a/bench/enginemodel.py
+++ b/bench/enginemodel.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from amaranthrail.policy.retryafter import return_later
+from amaranthrail.policy.retryafter import choose_peak_retry_after_ms
 from amaranthrail.policy.selection import UpstreamView, select_upstream
 from amaranthrail.policy.streamadmission import (
     EngineLoad,
@@ -201,7 +201,10 @@
             stream.end = End.FAILED
         else:
             stream.refused += 1
-            self._push(at_ms + return_later(left_ms, self._random), stream)
+            self._push(
+                at_ms + choose_peak_retry_after_ms(left_ms, self._random),
+                stream,
+            )
 
     def _crest(self, views: list[UpstreamView]) -> EngineLoad:
         least_load = min(view.load_per_slot for view in views)
--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -13,7 +13,10 @@
 from ..adapters.problem import send_refusal
 from ..clock import Clock, move_on_after
 from ..outcomes import Reason, Refusal, not_run, unknown
-from ..policy.retryafter import choose_retry_after_ms, return_later
+from ..policy.retryafter import (
+    choose_peak_retry_after_ms,
+    choose_retry_after_ms,
+)
 from ..policy.selection import UpstreamView, select_upstream
 from ..policy.streamadmission import (
     EngineLoad,
@@ -224,7 +227,7 @@
             return not_run(
                 Reason.NO_CAPACITY,
                 f'engines of {call.service} are full or too slow',
-                return_later(left_ms, self._random),
+                choose_peak_retry_after_ms(left_ms, self._random),
             )
         return not_run(
             Reason.NO_REPLICA if failed is None else Reason.NO_CAPACITY,
--- a/src/amaranthrail/policy/retryafter.py
+++ b/src/amaranthrail/policy/retryafter.py
@@ -26,7 +26,7 @@
     return int(MIN_RETURN_MS + source.uniform(0, RETURN_SPREAD_MS))
 
 
-def return_later(left_ms: float, source: random.Random) -> int:
+def choose_peak_retry_after_ms(left_ms: float, source: random.Random) -> int:
     """Return the milliseconds until a caller meets less demand.
 
     ``left_ms`` is the time that it has left.
--- a/tests/test_wave.py
+++ b/tests/test_wave.py
@@ -6,7 +6,10 @@
 
 import pytest
 
-from amaranthrail.policy.retryafter import MAX_RETURN_SHARE, return_later
+from amaranthrail.policy.retryafter import (
+    MAX_RETURN_SHARE,
+    choose_peak_retry_after_ms,
+)
 from amaranthrail.policy.streamadmission import (
     EngineLoad,
     StreamRequest,
@@ -71,6 +74,6 @@
 
 def test_refused_callers_return_spread_within_their_time() -> None:
     source = random.Random(1)
-    returns = [return_later(8000, source) for _ in range(200)]
+    returns = [choose_peak_retry_after_ms(8000, source) for _ in range(200)]
     assert max(returns) <= MAX_RETURN_SHARE * 8000
     assert max(returns) - min(returns) > 1000
