--- a/src/amaranthrail/direct/silence.py
+++ b/src/amaranthrail/direct/silence.py
@@ -9,7 +9,7 @@
 import trio
 
 from ..clock import Clock, sleep
-from ..policy.stalls import is_alone
+from ..policy.stalls import is_stream_stalled
 from .pace import ServicePace
 
 #: Time between two looks at all streams, in ms: a fifth of the silence that is
@@ -61,4 +61,4 @@
 
 def _is_alone(wait: _Wait, now: float) -> bool:
     engines = wait.engines
-    return is_alone(now - wait.since, engines.pass_ms, engines.age_ms)
+    return is_stream_stalled(now - wait.since, engines.pass_ms, engines.age_ms)
--- a/src/amaranthrail/policy/stalls.py
+++ b/src/amaranthrail/policy/stalls.py
@@ -17,7 +17,9 @@
 OTHERS_AGE_MS = 300.0
 
 
-def is_alone(silent_ms: float, pass_ms: float | None, age_ms: float) -> bool:
+def is_stream_stalled(
+    silent_ms: float, pass_ms: float | None, age_ms: float
+) -> bool:
     """Tell whether a stream is silent while others of its service go on.
 
     ``pass_ms`` is the pause between their events lately, None where there are
