--- a/src/amaranthrail/direct/upstreams.py
+++ b/src/amaranthrail/direct/upstreams.py
@@ -109,7 +109,7 @@
             self._in_flight,
             max(others, told),
             near=self._record.domain == domain,
-            avoided=self._health.avoided(now),
+            avoided=self._health.is_ejected(now),
         )
 
 
--- a/src/amaranthrail/policy/outliers.py
+++ b/src/amaranthrail/policy/outliers.py
@@ -29,7 +29,7 @@
     consecutive: int = 0
     avoid_until: float = 0
 
-    def avoided(self, now: float) -> bool:
+    def is_ejected(self, now: float) -> bool:
         """Tell whether calls should go elsewhere for now."""
         return now < self.avoid_until
 
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -110,8 +110,8 @@
     assert pauses[-1] == pytest.approx(MAX_PAUSE_MS)
     health.note_success()
     health.note_unreachable(now)
-    assert health.avoided(now)
-    assert not health.avoided(now + MAX_PAUSE_MS)
+    assert health.is_ejected(now)
+    assert not health.is_ejected(now + MAX_PAUSE_MS)
 
 
 @pytest.mark.parametrize(
@@ -132,7 +132,7 @@
             health.note_failure(now)
         else:
             health.note_success()
-        left += health.avoided(now)
+        left += health.is_ejected(now)
     assert (left > 200) is is_left
 
 
