--- a/src/amaranthrail/direct/attempt.py
+++ b/src/amaranthrail/direct/attempt.py
@@ -107,7 +107,7 @@
         if failed:
             upstream.health.note_failure(self._clock.now())
         else:
-            upstream.health.note_success()
+            upstream.health.record_success()
 
 
 def _fault(call: Call, facts: AnswerFacts, status: int) -> Failure | None:
--- a/src/amaranthrail/policy/outliers.py
+++ b/src/amaranthrail/policy/outliers.py
@@ -33,7 +33,7 @@
         """Tell whether calls should go elsewhere for now."""
         return now < self.avoid_until
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Count a call that ended well."""
         self.consecutive = 0
         self.failure_share -= CALL_WEIGHT * self.failure_share
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -108,7 +108,7 @@
         now = health.avoid_until
     assert pauses == sorted(pauses)
     assert pauses[-1] == pytest.approx(MAX_PAUSE_MS)
-    health.note_success()
+    health.record_success()
     health.note_unreachable(now)
     assert health.is_ejected(now)
     assert not health.is_ejected(now + MAX_PAUSE_MS)
@@ -131,7 +131,7 @@
         if source.random() < share:
             health.note_failure(now)
         else:
-            health.note_success()
+            health.record_success()
         left += health.is_ejected(now)
     assert (left > 200) is is_left
 
