--- a/src/amaranthrail/direct/attempt.py
+++ b/src/amaranthrail/direct/attempt.py
@@ -105,7 +105,7 @@
 
     def _note(self, upstream: Upstream, *, failed: bool) -> None:
         if failed:
-            upstream.health.note_failure(self._clock.now())
+            upstream.health.record_failure(self._clock.now())
         else:
             upstream.health.record_success()
 
--- a/src/amaranthrail/policy/outliers.py
+++ b/src/amaranthrail/policy/outliers.py
@@ -38,7 +38,7 @@
         self.consecutive = 0
         self.failure_share -= CALL_WEIGHT * self.failure_share
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Count a call that the upstream failed."""
         self.failure_share += CALL_WEIGHT * (1 - self.failure_share)
         if self.failure_share >= MAX_FAILURE_SHARE:
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -129,7 +129,7 @@
     left = 0
     for now in range(400):
         if source.random() < share:
-            health.note_failure(now)
+            health.record_failure(now)
         else:
             health.record_success()
         left += health.is_ejected(now)
