--- a/src/amaranthrail/direct/attempt.py
+++ b/src/amaranthrail/direct/attempt.py
@@ -63,7 +63,7 @@
                 return await self._take(call, upstream, relay, exchange)
         except HttpError as error:
             if not error.pooled or not error.sent:
-                upstream.health.note_unreachable(self._clock.now())
+                upstream.health.record_unreachable(self._clock.now())
             return Failure(str(error), ran=error.sent, arrived=error.sent)
         finally:
             upstream.count(-1)
--- a/src/amaranthrail/policy/outliers.py
+++ b/src/amaranthrail/policy/outliers.py
@@ -44,7 +44,7 @@
         if self.failure_share >= MAX_FAILURE_SHARE:
             self._pause(now)
 
-    def note_unreachable(self, now: float) -> None:
+    def record_unreachable(self, now: float) -> None:
         """Count a connection that could not be made or was cut."""
         self._pause(now)
 
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -103,13 +103,13 @@
     pauses = []
     now = 0.0
     for _ in range(6):
-        health.note_unreachable(now)
+        health.record_unreachable(now)
         pauses.append(health.avoid_until - now)
         now = health.avoid_until
     assert pauses == sorted(pauses)
     assert pauses[-1] == pytest.approx(MAX_PAUSE_MS)
     health.record_success()
-    health.note_unreachable(now)
+    health.record_unreachable(now)
     assert health.is_ejected(now)
     assert not health.is_ejected(now + MAX_PAUSE_MS)
 
