--- a/src/amaranthrail/direct/members.py
+++ b/src/amaranthrail/direct/members.py
@@ -12,7 +12,7 @@
     Member,
     expected_life_ms,
     is_alive,
-    leads,
+    is_leader,
     outlasts,
 )
 
@@ -76,7 +76,7 @@
 
     def check_lead(self) -> bool:
         """Tell whether this entry leads the expert maps; log a change."""
-        leading = leads(
+        leading = is_leader(
             self._own,
             self._heard.values(),
             self._clock.now(),
--- a/src/amaranthrail/policy/membership.py
+++ b/src/amaranthrail/policy/membership.py
@@ -47,7 +47,7 @@
     return now - member.heard_at < life_ms
 
 
-def leads(
+def is_leader(
     own: Member,
     others: Iterable[Member],
     now: float,
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -11,7 +11,7 @@
     SETTLE_MS,
     Member,
     expected_life_ms,
-    leads,
+    is_leader,
     outlasts,
 )
 
@@ -46,17 +46,17 @@
     own = Member('b', 5000, 0)
     older = Member('c', 4000, SETTLED)
     younger = Member('a', 6000, SETTLED)
-    assert leads(own, [younger], SETTLED)
-    assert not leads(own, [younger, older], SETTLED)
-    assert leads(older, [younger, own], 2 * SETTLED)
+    assert is_leader(own, [younger], SETTLED)
+    assert not is_leader(own, [younger, older], SETTLED)
+    assert is_leader(older, [younger, own], 2 * SETTLED)
 
 
 def test_entries_that_started_together_agree_on_one() -> None:
     one, other = Member('a', 5000, 0), Member('b', 5000, 0)
     now = SETTLED
     heard = [Member(each.host, 5000, now) for each in (one, other)]
-    assert leads(one, [heard[1]], now)
-    assert not leads(other, [heard[0]], now)
+    assert is_leader(one, [heard[1]], now)
+    assert not is_leader(other, [heard[0]], now)
 
 
 @pytest.mark.parametrize('leaving', [True, False])
@@ -64,13 +64,13 @@
     own = Member('b', 5000, 0)
     silent_ms = 0 if leaving else LIFE_MS
     leader = Member('a', 4000, SETTLED - silent_ms, int(leaving))
-    assert leads(own, [leader], SETTLED)
+    assert is_leader(own, [leader], SETTLED)
 
 
 def test_an_entry_waits_to_hear_the_others_before_it_leads() -> None:
     own = Member('a', 5000, SETTLED)
-    assert not leads(own, [], SETTLED + SETTLE_MS - 1)
-    assert leads(own, [], SETTLED + SETTLE_MS)
+    assert not is_leader(own, [], SETTLED + SETTLE_MS - 1)
+    assert is_leader(own, [], SETTLED + SETTLE_MS)
 
 
 def test_an_entry_that_leaves_does_not_lead() -> None:
