--- a/src/amaranthrail/direct/members.py
+++ b/src/amaranthrail/direct/members.py
@@ -13,7 +13,7 @@
     expected_life_ms,
     is_alive,
     is_leader,
-    outlasts,
+    runs_longer_than,
 )
 
 #: Time for which a host that fell silent still counts as one that may run an
@@ -58,7 +58,7 @@
     @property
     def successors(self) -> int:
         """Return how many other entries can be asked once this one ends."""
-        return sum(outlasts(one, self._own) for one in self._living())
+        return sum(runs_longer_than(one, self._own) for one in self._living())
 
     @property
     def count(self) -> int:
--- a/src/amaranthrail/policy/membership.py
+++ b/src/amaranthrail/policy/membership.py
@@ -67,7 +67,7 @@
     )
 
 
-def outlasts(other: Member, own: Member) -> bool:
+def runs_longer_than(other: Member, own: Member) -> bool:
     """Tell whether another entry can be asked after this one has ended.
 
     Of those that leave, the one that began last stays the longest.
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -12,7 +12,7 @@
     Member,
     expected_life_ms,
     is_leader,
-    outlasts,
+    runs_longer_than,
 )
 
 SETTLED = 10_000.0
@@ -138,5 +138,5 @@
 
 def test_of_entries_that_leave_together_one_stays_to_the_last() -> None:
     one, other = Member('a', 1, 0, 5000), Member('b', 1, 0, 5000)
-    assert outlasts(other, one)
-    assert not outlasts(one, other)
+    assert runs_longer_than(other, one)
+    assert not runs_longer_than(one, other)
