--- a/src/amaranthrail/entry/load.py
+++ b/src/amaranthrail/entry/load.py
@@ -37,7 +37,7 @@
     def begin(self, sent: Dispatch) -> None:
         """Count our own work in."""
         work = Work(1, sent.cost_ms)
-        self._own[sent.long] = self._own[sent.long].plus(work)
+        self._own[sent.long] = self._own[sent.long].add(work)
 
     def end(self, sent: Dispatch) -> None:
         """Count our own work out."""
@@ -47,8 +47,8 @@
     def candidate(self, long_share: float, *, long: bool) -> Candidate:
         """Return the expected wait of new work there."""
         load = ReplicaLoad(
-            self._others[False].plus(self._own[False]),
-            self._others[True].plus(self._own[True]),
+            self._others[False].add(self._own[False]),
+            self._others[True].add(self._own[True]),
             self._slots,
         )
         wait_ms = expected_wait(load, long_share, long=long)
--- a/src/amaranthrail/policy/loads.py
+++ b/src/amaranthrail/policy/loads.py
@@ -21,7 +21,7 @@
     count: float = 0
     cost_ms: float = 0
 
-    def plus(self, other: Work) -> Work:
+    def add(self, other: Work) -> Work:
         """Return both together."""
         return Work(self.count + other.count, self.cost_ms + other.cost_ms)
 
