--- a/src/amaranthrail/entry/load.py
+++ b/src/amaranthrail/entry/load.py
@@ -42,7 +42,7 @@
     def end(self, sent: Dispatch) -> None:
         """Count our own work out."""
         work = Work(1, sent.cost_ms)
-        self._own[sent.long] = self._own[sent.long].beyond(work)
+        self._own[sent.long] = self._own[sent.long].subtract(work)
 
     def candidate(self, long_share: float, *, long: bool) -> Candidate:
         """Return the expected wait of new work there."""
@@ -56,7 +56,7 @@
 
     def _hear(self, told: Work, interval_ms: float, *, long: bool) -> None:
         known = self._others[long]
-        fresh = told.beyond(self._own[long])
+        fresh = told.subtract(self._own[long])
         most_ms = max(known.cost_ms, fresh.cost_ms)
         weight = report_weight(most_ms, self._slots, interval_ms)
         self._others[long] = known.mixed(fresh, weight)
--- a/src/amaranthrail/policy/loads.py
+++ b/src/amaranthrail/policy/loads.py
@@ -25,7 +25,7 @@
         """Return both together."""
         return Work(self.count + other.count, self.cost_ms + other.cost_ms)
 
-    def beyond(self, other: Work) -> Work:
+    def subtract(self, other: Work) -> Work:
         """Return what is left without the other, none below zero."""
         return Work(
             max(0, self.count - other.count),
