--- a/src/amaranthrail/entry/load.py
+++ b/src/amaranthrail/entry/load.py
@@ -59,4 +59,4 @@
         fresh = told.subtract(self._own[long])
         most_ms = max(known.cost_ms, fresh.cost_ms)
         weight = report_weight(most_ms, self._slots, interval_ms)
-        self._others[long] = known.mixed(fresh, weight)
+        self._others[long] = known.blend(fresh, weight)
--- a/src/amaranthrail/policy/loads.py
+++ b/src/amaranthrail/policy/loads.py
@@ -32,7 +32,7 @@
             max(0, self.cost_ms - other.cost_ms),
         )
 
-    def mixed(self, fresh: Work, weight: float) -> Work:
+    def blend(self, fresh: Work, weight: float) -> Work:
         """Return this moved towards a fresh report by its weight, 0 to 1."""
         return Work(
             self.count + weight * (fresh.count - self.count),
