--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -168,7 +168,7 @@
         wish = StreamRequest(
             left_ms=call.deadline - self._clock.now(),
             route_ms=call.route.timeout_ms,
-            passes=call.facts.expected_tokens / engine.tokens_per_pass,
+            steps=call.facts.expected_tokens / engine.tokens_per_pass,
             continued=call.facts.last_event is not None,
         )
         return should_admit_stream(wish, call.crest)
--- a/src/amaranthrail/policy/streamadmission.py
+++ b/src/amaranthrail/policy/streamadmission.py
@@ -37,13 +37,13 @@
 class StreamRequest(msgspec.Struct, frozen=True):
     """Describe a stream that a caller asks for.
 
-    ``passes`` is the expected number of passes that write all of it, 0 if
+    ``steps`` is the expected number of steps that write all of it, 0 if
     unknown; ``continued`` says that its caller has the begin of it.
     """
 
     left_ms: float
     route_ms: float
-    passes: float = 0
+    steps: float = 0
     continued: bool = False
 
     @property
@@ -59,7 +59,7 @@
     """Tell whether a stream is admitted now; otherwise its caller returns."""
     # How much of a stream is left is not known.
     if crest.step_ms is not None and not wish.continued:
-        sure_ms = SURE_LENGTH_SHARE * wish.passes * crest.step_ms
+        sure_ms = SURE_LENGTH_SHARE * wish.steps * crest.step_ms
         if sure_ms > wish.left_ms:
             return False
     limit = FRESH_LOAD if wish.is_fresh else RETURNED_LOAD
--- a/tests/test_wave.py
+++ b/tests/test_wave.py
@@ -64,11 +64,11 @@
 def test_a_stream_that_cannot_end_does_not_begin() -> None:
     """Replays a rank at twelve times its pace: passes of 830 ms."""
     free = EngineLoad(least_load=0.2, step_ms=830)
-    assert not should_admit_stream(StreamRequest(8000, 8000, passes=23), free)
-    assert should_admit_stream(StreamRequest(8000, 8000, passes=8), free)
+    assert not should_admit_stream(StreamRequest(8000, 8000, steps=23), free)
+    assert should_admit_stream(StreamRequest(8000, 8000, steps=8), free)
     assert should_admit_stream(StreamRequest(8000, 8000), free)
     assert should_admit_stream(
-        StreamRequest(8000, 8000, passes=23, continued=True), free
+        StreamRequest(8000, 8000, steps=23, continued=True), free
     )
 
 
