--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -166,7 +166,7 @@
             self._world.directory.pace(call.service).pass_ms,
         )
         wish = StreamRequest(
-            left_ms=call.deadline - self._clock.now(),
+            remaining_ms=call.deadline - self._clock.now(),
             route_ms=call.route.timeout_ms,
             steps=call.facts.expected_tokens / engine.tokens_per_pass,
             continued=call.facts.last_event is not None,
--- a/src/amaranthrail/policy/streamadmission.py
+++ b/src/amaranthrail/policy/streamadmission.py
@@ -41,7 +41,7 @@
     unknown; ``continued`` says that its caller has the begin of it.
     """
 
-    left_ms: float
+    remaining_ms: float
     route_ms: float
     steps: float = 0
     continued: bool = False
@@ -51,7 +51,7 @@
         """Tell whether the caller comes for the first time."""
         return (
             not self.continued
-            and self.left_ms > FRESH_TIME_SHARE * self.route_ms
+            and self.remaining_ms > FRESH_TIME_SHARE * self.route_ms
         )
 
 
@@ -60,7 +60,7 @@
     # How much of a stream is left is not known.
     if crest.step_ms is not None and not wish.continued:
         sure_ms = SURE_LENGTH_SHARE * wish.steps * crest.step_ms
-        if sure_ms > wish.left_ms:
+        if sure_ms > wish.remaining_ms:
             return False
     limit = FRESH_LOAD if wish.is_fresh else RETURNED_LOAD
     return crest.least_load <= limit
