--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -167,7 +167,7 @@
         )
         wish = StreamRequest(
             remaining_ms=call.deadline - self._clock.now(),
-            route_ms=call.route.timeout_ms,
+            route_timeout_ms=call.route.timeout_ms,
             steps=call.facts.expected_tokens / engine.tokens_per_pass,
             continued=call.facts.last_event is not None,
         )
--- a/src/amaranthrail/policy/streamadmission.py
+++ b/src/amaranthrail/policy/streamadmission.py
@@ -42,7 +42,7 @@
     """
 
     remaining_ms: float
-    route_ms: float
+    route_timeout_ms: float
     steps: float = 0
     continued: bool = False
 
@@ -51,7 +51,7 @@
         """Tell whether the caller comes for the first time."""
         return (
             not self.continued
-            and self.remaining_ms > FRESH_TIME_SHARE * self.route_ms
+            and self.remaining_ms > FRESH_TIME_SHARE * self.route_timeout_ms
         )
 
 
--- a/tests/test_wave.py
+++ b/tests/test_wave.py
@@ -21,8 +21,8 @@
 SEEDS = (1, 2)
 #: Share of the callers that were refused once and must be served on return.
 SERVED_ON_RETURN = 0.8
-FRESH = StreamRequest(remaining_ms=8000, route_ms=8000)
-RETURNED = StreamRequest(remaining_ms=6000, route_ms=8000)
+FRESH = StreamRequest(remaining_ms=8000, route_timeout_ms=8000)
+RETURNED = StreamRequest(remaining_ms=6000, route_timeout_ms=8000)
 
 
 @pytest.mark.parametrize('seed', SEEDS)
