--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -169,7 +169,7 @@
             remaining_ms=call.deadline - self._clock.now(),
             route_timeout_ms=call.route.timeout_ms,
             steps=call.facts.expected_tokens / engine.tokens_per_pass,
-            continued=call.facts.last_event is not None,
+            is_resumed=call.facts.last_event is not None,
         )
         return should_admit_stream(wish, call.crest)
 
--- a/src/amaranthrail/policy/streamadmission.py
+++ b/src/amaranthrail/policy/streamadmission.py
@@ -38,19 +38,19 @@
     """Describe a stream that a caller asks for.
 
     ``steps`` is the expected number of steps that write all of it, 0 if
-    unknown; ``continued`` says that its caller has the begin of it.
+    unknown; ``is_resumed`` says that its caller has the begin of it.
     """
 
     remaining_ms: float
     route_timeout_ms: float
     steps: float = 0
-    continued: bool = False
+    is_resumed: bool = False
 
     @property
     def is_fresh(self) -> bool:
         """Tell whether the caller comes for the first time."""
         return (
-            not self.continued
+            not self.is_resumed
             and self.remaining_ms > FRESH_TIME_SHARE * self.route_timeout_ms
         )
 
@@ -58,7 +58,7 @@
 def should_admit_stream(wish: StreamRequest, crest: EngineLoad) -> bool:
     """Tell whether a stream is admitted now; otherwise its caller returns."""
     # How much of a stream is left is not known.
-    if crest.step_ms is not None and not wish.continued:
+    if crest.step_ms is not None and not wish.is_resumed:
         sure_ms = SURE_LENGTH_SHARE * wish.steps * crest.step_ms
         if sure_ms > wish.remaining_ms:
             return False
--- a/tests/test_wave.py
+++ b/tests/test_wave.py
@@ -55,7 +55,7 @@
     full = EngineLoad(least_load=1.2, step_ms=100)
     assert not should_admit_stream(FRESH, full)
     assert should_admit_stream(RETURNED, full)
-    assert should_admit_stream(StreamRequest(8000, 8000, continued=True), full)
+    assert should_admit_stream(StreamRequest(8000, 8000, is_resumed=True), full)
     assert not should_admit_stream(
         RETURNED, EngineLoad(least_load=2, step_ms=100)
     )
@@ -68,7 +68,7 @@
     assert should_admit_stream(StreamRequest(8000, 8000, steps=8), free)
     assert should_admit_stream(StreamRequest(8000, 8000), free)
     assert should_admit_stream(
-        StreamRequest(8000, 8000, steps=23, continued=True), free
+        StreamRequest(8000, 8000, steps=23, is_resumed=True), free
     )
 
 
