--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -148,7 +148,7 @@
             Choice(
                 view.name,
                 upstream.record.beat,
-                view.own,
+                view.own_calls,
                 round(view.others, 1),
                 view.avoided,
             ),
--- a/src/amaranthrail/policy/selection.py
+++ b/src/amaranthrail/policy/selection.py
@@ -26,13 +26,13 @@
 class UpstreamView(msgspec.Struct, frozen=True):
     """Describe one upstream that could take a call.
 
-    ``own`` counts this entry's calls in flight there, ``others`` is the
+    ``own_calls`` counts this entry's calls in flight there, ``others`` is the
     estimate of all other work, and ``avoided`` says that it failed lately.
     """
 
     name: str
     slots: int
-    own: int
+    own_calls: int
     others: float = 0
     near: bool = False
     avoided: bool = False
@@ -40,7 +40,7 @@
     @property
     def load_per_slot(self) -> float:
         """Return the work per slot once the call has been added."""
-        return (self.own + self.others + 1) / max(1, self.slots)
+        return (self.own_calls + self.others + 1) / max(1, self.slots)
 
     @property
     def cost(self) -> float:
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -65,8 +65,8 @@
 
 
 def test_work_of_other_entries_counts() -> None:
-    busy = UpstreamView('busy', 6, own=0, others=3)
-    free = UpstreamView('free', 6, own=2)
+    busy = UpstreamView('busy', 6, own_calls=0, others=3)
+    free = UpstreamView('free', 6, own_calls=2)
     chosen = select_upstream([busy, free], random.Random(1))
     assert chosen == free
 
@@ -77,15 +77,15 @@
 
 
 def test_an_equal_upstream_nearby_goes_first() -> None:
-    far = UpstreamView('far', 6, own=1)
-    near = UpstreamView('near', 6, own=1, near=True)
+    far = UpstreamView('far', 6, own_calls=1)
+    near = UpstreamView('near', 6, own_calls=1, near=True)
     source = random.Random(1)
     assert {select_upstream([far, near], source) for _ in range(20)} == {near}
 
 
 def test_one_that_failed_lately_is_a_last_resort() -> None:
-    failed = UpstreamView('failed', 6, own=0, avoided=True)
-    busy = UpstreamView('busy', 6, own=5)
+    failed = UpstreamView('failed', 6, own_calls=0, avoided=True)
+    busy = UpstreamView('busy', 6, own_calls=5)
     source = random.Random(1)
     assert select_upstream([failed, busy], source) == busy
     assert select_upstream([failed], source) == failed
