--- a/src/amaranthrail/direct/callers.py
+++ b/src/amaranthrail/direct/callers.py
@@ -11,12 +11,12 @@
 from ..policy.returns import return_after
 from ..types import Millis, OrganisationName, ServiceName
 from .call import Call
+from .clusterstate import World
 from .departure import Departure
 from .deployment import Deployment, Organisation, Route
 from .forward import Forwarder
 from .journal import Journal
 from .ports import CallFacts, Dialect
-from .world import World
 
 #: Priorities that an upstream tells apart, 0 to this one.
 _MAX_PRIORITY = 9
--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -19,13 +19,13 @@
 from ..types import DomainName, HeaderList
 from .attempt import Attempts
 from .call import Call, Choice, Failure, StreamPace, WholeAnswer
+from .clusterstate import World
 from .journal import Journal
 from .loads import SharedLoads
 from .relay import StreamRelay
 from .repeats import Repeats
 from .silence import SilenceWatch
 from .upstreams import Upstream
-from .world import World
 
 _FIRST_SERVER_ERROR = 500
 #: Time after a call's deadline at which it is given up, in ms: the upstream's
--- a/src/amaranthrail/direct/loads.py
+++ b/src/amaranthrail/direct/loads.py
@@ -11,10 +11,10 @@
 from ..clock import Clock, sleep
 from ..logs import part_logger
 from ..policy.membership import Member
+from .clusterstate import World
 from .members import MAX_RECEIVERS, Members
 from .news import Report, decode_report, encode_message
 from .settings import DirectSettings
-from .world import World
 
 #: Time between two reports to other entries, in ms: a tenth of a short stream.
 REPORT_INTERVAL_MS = 100.0
--- a/src/amaranthrail/direct/peers.py
+++ b/src/amaranthrail/direct/peers.py
@@ -14,6 +14,7 @@
 )
 from ..clock import move_on_after, sleep
 from ..logs import part_logger
+from .clusterstate import NewerVersion, World
 from .deployment import UpstreamRecord
 from .members import Members
 from .news import (
@@ -28,7 +29,6 @@
 from .ports import Snapshot, StorePort, StoreRecord, Topic
 from .settings import DirectSettings
 from .sync import StoreContact
-from .world import NewerVersion, World
 
 #: Silence of the store after which other entries are asked, in ms; it may
 #: hold a read for 3,000.
--- a/src/amaranthrail/direct/service.py
+++ b/src/amaranthrail/direct/service.py
@@ -23,6 +23,7 @@
 from ..ranks.keeper import MakeRank, MapKeeper
 from .attempt import Attempts
 from .callers import Callers
+from .clusterstate import World
 from .departure import Departure
 from .deployment import CallerLimits
 from .forward import Forwarder, ForwarderSettings
@@ -40,7 +41,6 @@
     UpstreamSync,
     follow_configuration,
 )
-from .world import World
 
 #: Time from the signal to stop until idle connections close, in ms: the
 #: balancer sends new ones until it has missed two probes, a second apart.
--- a/src/amaranthrail/direct/sync.py
+++ b/src/amaranthrail/direct/sync.py
@@ -4,6 +4,7 @@
 
 from ..clock import Clock, sleep
 from ..logs import part_logger
+from .clusterstate import World
 from .ports import (
     Changes,
     Snapshot,
@@ -12,7 +13,6 @@
     StoreRecord,
     Topic,
 )
-from .world import World
 
 #: Time that the store is asked to hold a read, in ms. A connection that went
 #: silent is noticed this long and a call's bound later, and news must be in
--- a/src/amaranthrail/ranks/keeper.py
+++ b/src/amaranthrail/ranks/keeper.py
@@ -8,9 +8,9 @@
 
 from ..adapters.httpclient import Address
 from ..clock import Clock, sleep
+from ..direct.clusterstate import World
 from ..direct.deployment import Deployment, ExpertLayout, Service
 from ..direct.upstreams import Upstream
-from ..direct.world import World
 from ..logs import part_logger
 from ..policy.mapchanges import can_follow
 from ..types import ServiceName
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -9,6 +9,7 @@
 from trio.testing import MockClock
 
 from amaranthrail.clock import Clock
+from amaranthrail.direct.clusterstate import World
 from amaranthrail.direct.ports import (
     Changes,
     Snapshot,
@@ -22,7 +23,6 @@
     TopicFollower,
     UpstreamSync,
 )
-from amaranthrail.direct.world import World
 from amaranthrail.platform.program import DIALECT
 
 from .platformbuild import upstream_record
