--- a/src/amaranthrail/direct/callers.py
+++ b/src/amaranthrail/direct/callers.py
@@ -11,7 +11,7 @@
 from ..policy.returns import return_after
 from ..types import Millis, OrganisationName, ServiceName
 from .call import Call
-from .clusterstate import World
+from .clusterstate import ClusterState
 from .departure import Departure
 from .deployment import Deployment, Organisation, Route
 from .forward import Forwarder
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        world: World,
+        world: ClusterState,
         dialect: Dialect,
         forwarder: Forwarder,
         journal: Journal,
--- a/src/amaranthrail/direct/clusterstate.py
+++ b/src/amaranthrail/direct/clusterstate.py
@@ -22,7 +22,7 @@
     noted_at: float
 
 
-class World:
+class ClusterState:
     """Take in news from the store or from other entries, whichever is first.
 
     The highest version of the configuration wins and never goes back.
--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -19,7 +19,7 @@
 from ..types import DomainName, HeaderList
 from .attempt import Attempts
 from .call import Call, Choice, Failure, StreamPace, WholeAnswer
-from .clusterstate import World
+from .clusterstate import ClusterState
 from .journal import Journal
 from .loads import SharedLoads
 from .relay import StreamRelay
@@ -55,7 +55,7 @@
 
     def __init__(
         self,
-        world: World,
+        world: ClusterState,
         attempts: Attempts,
         repeats: Repeats,
         journal: Journal,
--- a/src/amaranthrail/direct/loads.py
+++ b/src/amaranthrail/direct/loads.py
@@ -11,7 +11,7 @@
 from ..clock import Clock, sleep
 from ..logs import part_logger
 from ..policy.membership import Member
-from .clusterstate import World
+from .clusterstate import ClusterState
 from .members import MAX_RECEIVERS, Members
 from .news import Report, decode_report, encode_message
 from .settings import DirectSettings
@@ -60,7 +60,7 @@
     def __init__(
         self,
         settings: DirectSettings,
-        world: World,
+        world: ClusterState,
         shared: SharedLoads,
         members: Members,
     ) -> None:
--- a/src/amaranthrail/direct/peers.py
+++ b/src/amaranthrail/direct/peers.py
@@ -14,7 +14,7 @@
 )
 from ..clock import move_on_after, sleep
 from ..logs import part_logger
-from .clusterstate import NewerVersion, World
+from .clusterstate import ClusterState, NewerVersion
 from .deployment import UpstreamRecord
 from .members import Members
 from .news import (
@@ -64,7 +64,7 @@
         self,
         settings: DirectSettings,
         ties: PeerTies,
-        world: World,
+        world: ClusterState,
     ) -> None:
         """Take what lists entries and what is to be told."""
         self._settings = settings
--- a/src/amaranthrail/direct/service.py
+++ b/src/amaranthrail/direct/service.py
@@ -23,7 +23,7 @@
 from ..ranks.keeper import MakeRank, MapKeeper
 from .attempt import Attempts
 from .callers import Callers
-from .clusterstate import World
+from .clusterstate import ClusterState
 from .departure import Departure
 from .deployment import CallerLimits
 from .forward import Forwarder, ForwarderSettings
@@ -65,7 +65,7 @@
         self._dialect = dialect
         self._clock = Clock()
         self._metrics = Metrics()
-        self._world = World(self._clock, dialect)
+        self._world = ClusterState(self._clock, dialect)
         self._contact = StoreContact(self._clock)
         self._members = Members(settings.host, self._clock)
         self._members.take_seeds(settings.seeds)
@@ -113,7 +113,7 @@
         return self._settings
 
     @property
-    def world(self) -> World:
+    def world(self) -> ClusterState:
         """Return what the entry knows."""
         return self._world
 
--- a/src/amaranthrail/direct/sync.py
+++ b/src/amaranthrail/direct/sync.py
@@ -4,7 +4,7 @@
 
 from ..clock import Clock, sleep
 from ..logs import part_logger
-from .clusterstate import World
+from .clusterstate import ClusterState
 from .ports import (
     Changes,
     Snapshot,
@@ -144,7 +144,9 @@
         return snapshot
 
 
-async def follow_configuration(follower: TopicFollower, world: World) -> None:
+async def follow_configuration(
+    follower: TopicFollower, world: ClusterState
+) -> None:
     """Put each newer configuration in force, for good."""
     while True:
         news = await follower.next(READ_WAIT_MS)
@@ -161,7 +163,7 @@
     def __init__(
         self,
         follower: TopicFollower,
-        world: World,
+        world: ClusterState,
         contact: StoreContact,
     ) -> None:
         """Take the follower of the list and where its news goes."""
--- a/src/amaranthrail/ranks/keeper.py
+++ b/src/amaranthrail/ranks/keeper.py
@@ -8,7 +8,7 @@
 
 from ..adapters.httpclient import Address
 from ..clock import Clock, sleep
-from ..direct.clusterstate import World
+from ..direct.clusterstate import ClusterState
 from ..direct.deployment import Deployment, ExpertLayout, Service
 from ..direct.upstreams import Upstream
 from ..logs import part_logger
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        world: World,
+        world: ClusterState,
         leads: Callable[[], bool],
         make_rank: MakeRank,
         clock: Clock,
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -9,7 +9,7 @@
 from trio.testing import MockClock
 
 from amaranthrail.clock import Clock
-from amaranthrail.direct.clusterstate import World
+from amaranthrail.direct.clusterstate import ClusterState
 from amaranthrail.direct.ports import (
     Changes,
     Snapshot,
@@ -75,11 +75,11 @@
 
 def follow(
     answers: list[_Answer],
-    scenario: Callable[[World, ScriptedStore], Awaitable[None]],
+    scenario: Callable[[ClusterState, ScriptedStore], Awaitable[None]],
 ) -> None:
     async def main() -> None:
         clock = Clock(trio.current_time)
-        world = World(clock, DIALECT)
+        world = ClusterState(clock, DIALECT)
         contact = StoreContact(clock)
         store = ScriptedStore(answers)
         follower = TopicFollower(store, Topic.UPSTREAMS, contact)
@@ -93,7 +93,7 @@
 
 
 def test_a_removal_in_calm_times_holds_at_once() -> None:
-    async def scenario(world: World, _store: ScriptedStore) -> None:
+    async def scenario(world: ClusterState, _store: ScriptedStore) -> None:
         await trio.sleep(0.5)
         assert world.directory.names() == {'i-2'}
 
@@ -102,7 +102,7 @@
 
 
 def test_a_lapse_in_an_outage_waits_for_the_return() -> None:
-    async def scenario(world: World, _store: ScriptedStore) -> None:
+    async def scenario(world: ClusterState, _store: ScriptedStore) -> None:
         await trio.sleep(1)
         assert world.directory.names() == {'i-1', 'i-2'}
         await trio.sleep(RETURN_MS / 1000 + 0.5)
@@ -122,7 +122,7 @@
 def test_a_removal_long_after_an_outage_holds_at_once() -> None:
     """Replays DRAIN on dvorak-ladirna scale-2 (seed in the journal)."""
 
-    async def scenario(world: World, store: ScriptedStore) -> None:
+    async def scenario(world: ClusterState, store: ScriptedStore) -> None:
         await trio.sleep(RETURN_MS / 1000 + 1.2)
         removed = Changes((StoreRecord('i-1', None),), 3)
         store.answers.append(removed)
@@ -134,7 +134,7 @@
 
 
 def test_lost_history_is_read_whole() -> None:
-    async def scenario(world: World, store: ScriptedStore) -> None:
+    async def scenario(world: ClusterState, store: ScriptedStore) -> None:
         await trio.sleep(0.5)
         assert store.asked[:3] == [None, 2, None]
         assert world.directory.names() == {'i-2'}
@@ -148,7 +148,7 @@
 
 
 def test_a_snapshot_from_the_past_proves_nothing() -> None:
-    async def scenario(world: World, _store: ScriptedStore) -> None:
+    async def scenario(world: ClusterState, _store: ScriptedStore) -> None:
         await trio.sleep(0.25)
         assert world.directory.names() == {'i-1', 'i-2'}
 
@@ -161,7 +161,7 @@
 
 
 def test_records_of_the_past_change_nothing() -> None:
-    async def scenario(world: World, _store: ScriptedStore) -> None:
+    async def scenario(world: ClusterState, _store: ScriptedStore) -> None:
         await trio.sleep(0.5)
         known = world.directory.find('i-1')
         assert known is not None
@@ -173,7 +173,7 @@
 
 
 def test_a_name_that_has_gone_comes_back_only_later() -> None:
-    async def scenario(world: World, _store: ScriptedStore) -> None:
+    async def scenario(world: ClusterState, _store: ScriptedStore) -> None:
         await trio.sleep(0.5)
         assert world.directory.names() == {'i-2'}
 
