--- a/src/amaranthrail/direct/loads.py
+++ b/src/amaranthrail/direct/loads.py
@@ -13,7 +13,7 @@
 from ..policy.membership import Member
 from .clusterstate import ClusterState
 from .members import MAX_RECEIVERS, Members
-from .news import Report, decode_report, encode_message
+from .peermessages import Report, decode_report, encode_message
 from .settings import DirectSettings
 
 #: Time between two reports to other entries, in ms: a tenth of a short stream.
--- a/src/amaranthrail/direct/peers.py
+++ b/src/amaranthrail/direct/peers.py
@@ -17,7 +17,7 @@
 from .clusterstate import ClusterState, NewerVersion
 from .deployment import UpstreamRecord
 from .members import Members
-from .news import (
+from .peermessages import (
     Ask,
     Gone,
     Known,
--- a/tests/test_shared_loads.py
+++ b/tests/test_shared_loads.py
@@ -11,7 +11,11 @@
 from amaranthrail.clock import Clock
 from amaranthrail.direct.deployment import UpstreamRecord, UpstreamState
 from amaranthrail.direct.loads import REPORT_LIFE_MS, SharedLoads
-from amaranthrail.direct.news import Report, decode_report, encode_message
+from amaranthrail.direct.peermessages import (
+    Report,
+    decode_report,
+    encode_message,
+)
 from amaranthrail.direct.ports import ReportedLoad
 from amaranthrail.direct.upstreams import Upstream
 from amaranthrail.policy.placement import UpstreamView, place
