--- a/src/amaranthrail/direct/peermessages.py
+++ b/src/amaranthrail/direct/peermessages.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class Known(msgspec.Struct, array_like=True, frozen=True):
+class RecordVersion(msgspec.Struct, array_like=True, frozen=True):
     """Say which record of an upstream an entry has."""
 
     started_at: int
@@ -13,14 +13,14 @@
     state: str
 
 
-class Ask(msgspec.Struct, array_like=True, frozen=True):
-    """Ask an entry for what is newer than this."""
+class SyncRequest(msgspec.Struct, array_like=True, frozen=True):
+    """SyncRequest an entry for what is newer than this."""
 
     version: int
-    upstreams: dict[str, Known]
+    upstreams: dict[str, RecordVersion]
 
 
-class Gone(msgspec.Struct, array_like=True, frozen=True):
+class RemovedUpstream(msgspec.Struct, array_like=True, frozen=True):
     """Name an upstream that has gone, and its last known record."""
 
     name: str
@@ -28,7 +28,7 @@
     beat: int
 
 
-class News(msgspec.Struct, array_like=True, frozen=True):
+class SyncResponse(msgspec.Struct, array_like=True, frozen=True):
     """Hold what the asked entry knows and the asker does not.
 
     ``configuration`` is empty where the asker's is as new; ``upstreams`` maps
@@ -37,7 +37,7 @@
 
     configuration: bytes
     upstreams: dict[str, bytes]
-    gone: list[Gone]
+    gone: list[RemovedUpstream]
 
 
 class Report(msgspec.Struct, array_like=True, frozen=True):
@@ -57,22 +57,22 @@
     version: int = 0
 
 
-_ask_decoder = msgspec.msgpack.Decoder(Ask)
-_news_decoder = msgspec.msgpack.Decoder(News)
+_ask_decoder = msgspec.msgpack.Decoder(SyncRequest)
+_news_decoder = msgspec.msgpack.Decoder(SyncResponse)
 _report_decoder = msgspec.msgpack.Decoder(Report)
 
 
-def encode_message(message: Ask | News | Report) -> bytes:
+def encode_message(message: SyncRequest | SyncResponse | Report) -> bytes:
     """Return the bytes of a message."""
     return msgspec.msgpack.encode(message)
 
 
-def decode_ask(payload: bytes) -> Ask:
+def decode_ask(payload: bytes) -> SyncRequest:
     """Return a question. Raises msgspec.DecodeError."""
     return _ask_decoder.decode(payload)
 
 
-def decode_news(payload: bytes) -> News:
+def decode_news(payload: bytes) -> SyncResponse:
     """Return an answer. Raises msgspec.DecodeError."""
     return _news_decoder.decode(payload)
 
--- a/src/amaranthrail/direct/peers.py
+++ b/src/amaranthrail/direct/peers.py
@@ -18,10 +18,10 @@
 from .deployment import UpstreamRecord
 from .members import Members
 from .peermessages import (
-    Ask,
-    Gone,
-    Known,
-    News,
+    RecordVersion,
+    RemovedUpstream,
+    SyncRequest,
+    SyncResponse,
     decode_ask,
     decode_news,
     encode_message,
@@ -160,7 +160,7 @@
             cause = str(error)
         _log.info('peer not asked', peer=host, cause=cause)
 
-    async def _exchange(self, host: str) -> News:
+    async def _exchange(self, host: str) -> SyncResponse:
         port = self._settings.peer_port
         async with await trio.open_tcp_stream(host, port) as stream:
             await send_message(stream, encode_message(self._question()))
@@ -173,23 +173,23 @@
             news = self._news_for(decode_ask(payload))
             await send_message(stream, encode_message(news))
 
-    def _question(self) -> Ask:
+    def _question(self) -> SyncRequest:
         known = {
-            record.name: Known(
+            record.name: RecordVersion(
                 record.started_at,
                 record.beat,
                 record.state.value,
             )
             for record in self._world.directory.records()
         }
-        return Ask(self._world.version, known)
+        return SyncRequest(self._world.version, known)
 
-    def _news_for(self, ask: Ask) -> News:
+    def _news_for(self, ask: SyncRequest) -> SyncResponse:
         deployment = self._world.deployment
         configuration = b''
         if deployment is not None and deployment.version > ask.version:
             configuration = deployment.text
-        return News(
+        return SyncResponse(
             configuration,
             {
                 record.name: record.text
@@ -197,13 +197,13 @@
                 if _is_news(record, ask.upstreams.get(record.name))
             },
             [
-                Gone(name, *age_key)
+                RemovedUpstream(name, *age_key)
                 for name, age_key in self._world.directory.gone()
                 if name in ask.upstreams
             ],
         )
 
-    def _take(self, news: News, host: str) -> None:
+    def _take(self, news: SyncResponse, host: str) -> None:
         if news.configuration:
             self._world.take_deployment(news.configuration, host)
         for name, payload in news.upstreams.items():
@@ -213,7 +213,7 @@
             self._world.directory.remove_until(gone.name, age_key, host)
 
 
-def _is_news(record: UpstreamRecord, known: Known | None) -> bool:
+def _is_news(record: UpstreamRecord, known: RecordVersion | None) -> bool:
     if known is None:
         return True
     if record.age_key <= (known.started_at, known.beat):
