--- a/src/amaranthrail/direct/loads.py
+++ b/src/amaranthrail/direct/loads.py
@@ -13,7 +13,7 @@
 from ..policy.membership import Member
 from .clusterstate import ClusterState
 from .members import MAX_RECEIVERS, Members
-from .peermessages import Report, decode_report, encode_message
+from .peermessages import LoadReport, decode_report, encode_message
 from .settings import DirectSettings
 
 #: Time between two reports to other entries, in ms: a tenth of a short stream.
@@ -91,10 +91,10 @@
             had_calls = bool(calls)
             await sleep(REPORT_INTERVAL_MS if busy else IDLE_INTERVAL_MS)
 
-    def _report(self, calls: dict[str, int]) -> Report:
+    def _report(self, calls: dict[str, int]) -> LoadReport:
         own = self._members.own
         alive = self._sample(self._members.alive)
-        return Report(
+        return LoadReport(
             calls,
             alive,
             own.started_at,
--- a/src/amaranthrail/direct/peermessages.py
+++ b/src/amaranthrail/direct/peermessages.py
@@ -40,7 +40,7 @@
     gone: list[RemovedUpstream]
 
 
-class Report(msgspec.Struct, array_like=True, frozen=True):
+class LoadReport(msgspec.Struct, array_like=True, frozen=True):
     """Tell an entry's calls in flight by upstream, and about entries.
 
     ``hosts`` are some of those that it has heard lately, ``started_at`` is the
@@ -59,10 +59,10 @@
 
 _ask_decoder = msgspec.msgpack.Decoder(SyncRequest)
 _news_decoder = msgspec.msgpack.Decoder(SyncResponse)
-_report_decoder = msgspec.msgpack.Decoder(Report)
+_report_decoder = msgspec.msgpack.Decoder(LoadReport)
 
 
-def encode_message(message: SyncRequest | SyncResponse | Report) -> bytes:
+def encode_message(message: SyncRequest | SyncResponse | LoadReport) -> bytes:
     """Return the bytes of a message."""
     return msgspec.msgpack.encode(message)
 
@@ -77,6 +77,6 @@
     return _news_decoder.decode(payload)
 
 
-def decode_report(payload: bytes) -> Report:
+def decode_report(payload: bytes) -> LoadReport:
     """Return a report of loads. Raises msgspec.DecodeError."""
     return _report_decoder.decode(payload)
--- a/tests/test_shared_loads.py
+++ b/tests/test_shared_loads.py
@@ -12,7 +12,7 @@
 from amaranthrail.direct.deployment import UpstreamRecord, UpstreamState
 from amaranthrail.direct.loads import REPORT_LIFE_MS, SharedLoads
 from amaranthrail.direct.peermessages import (
-    Report,
+    LoadReport,
     decode_report,
     encode_message,
 )
@@ -54,7 +54,7 @@
 
 
 def test_a_report_is_read_as_it_was_written() -> None:
-    report = Report({'e1': 3}, ['10.0.0.3'], 1000, 2000)
+    report = LoadReport({'e1': 3}, ['10.0.0.3'], 1000, 2000)
     assert decode_report(encode_message(report)) == report
     with pytest.raises(msgspec.DecodeError):
         decode_report(b'\xff')
