--- a/src/amaranthrail/direct/call.py
+++ b/src/amaranthrail/direct/call.py
@@ -10,7 +10,7 @@
 from ..policy.crest import Crest
 from ..types import HeaderList, Millis, OrganisationName, ServiceName
 from .deployment import Route
-from .ports import CallFacts
+from .ports import RequestMetadata
 
 
 class Choice(msgspec.Struct, frozen=True):
@@ -35,7 +35,7 @@
     """
 
     request: HttpRequest
-    facts: CallFacts
+    facts: RequestMetadata
     route: Route
     service: ServiceName
     organisation: OrganisationName | None
--- a/src/amaranthrail/direct/callers.py
+++ b/src/amaranthrail/direct/callers.py
@@ -16,7 +16,7 @@
 from .deployment import Deployment, Organisation, Route
 from .forward import Forwarder
 from .journal import Journal
-from .ports import CallFacts, Dialect
+from .ports import Dialect, RequestMetadata
 
 #: Priorities that an upstream tells apart, 0 to this one.
 _MAX_PRIORITY = 9
@@ -60,7 +60,7 @@
     def _identify(
         self,
         request: HttpRequest,
-        facts: CallFacts,
+        facts: RequestMetadata,
     ) -> Call | Refusal:
         deployment = self._world.deployment
         if deployment is None:
@@ -89,7 +89,7 @@
         self,
         deployment: Deployment,
         request: HttpRequest,
-        facts: CallFacts,
+        facts: RequestMetadata,
         route: Route,
         organisation: Organisation | None,
     ) -> Call:
--- a/src/amaranthrail/direct/ports.py
+++ b/src/amaranthrail/direct/ports.py
@@ -78,7 +78,7 @@
         """
 
 
-class CallFacts(msgspec.Struct, frozen=True):
+class RequestMetadata(msgspec.Struct, frozen=True):
     """Hold what the headers of a caller's request say.
 
     ``expected_tokens`` is the caller's estimate of the answer's length, often
@@ -133,7 +133,7 @@
     """
 
     configuration_key: str
-    read_call: Callable[[HttpRequest], CallFacts]
+    read_call: Callable[[HttpRequest], RequestMetadata]
     request_headers: Callable[[HttpRequest, Handover], HeaderList]
     read_answer: Callable[[int, HeaderList], AnswerFacts]
     answer_headers: Callable[[HeaderList], HeaderList]
--- a/src/amaranthrail/platform/headers.py
+++ b/src/amaranthrail/platform/headers.py
@@ -4,7 +4,7 @@
 
 from ..adapters.httpserver import HttpRequest
 from ..clock import MS_PER_SECOND
-from ..direct.ports import AnswerFacts, CallFacts, Handover, ReportedLoad
+from ..direct.ports import AnswerFacts, Handover, ReportedLoad, RequestMetadata
 from ..outcomes import Refusal
 from ..types import HeaderList, Millis
 
@@ -48,9 +48,9 @@
 _NOT_PASSED_ON = _HOP_BY_HOP | _OURS
 
 
-def read_call(request: HttpRequest) -> CallFacts:
+def read_call(request: HttpRequest) -> RequestMetadata:
     """Return what a caller's header fields say."""
-    return CallFacts(
+    return RequestMetadata(
         attempt=request.header(_ATTEMPT) or '',
         credential=_read_credential(request.header('authorization')),
         patience_ms=_read_millis(request.header(_REMAINING)),
