--- a/src/amaranthrail/direct/attempt.py
+++ b/src/amaranthrail/direct/attempt.py
@@ -9,7 +9,7 @@
 from ..exceptions import HttpError
 from ..types import Millis
 from .call import Call, Failure, WholeAnswer
-from .ports import AnswerFacts, Dialect, Handover
+from .ports import Dialect, Handover, ResponseMetadata
 from .relay import StreamRelay
 from .upstreams import Directory, Upstream
 
@@ -110,7 +110,7 @@
             upstream.health.note_success()
 
 
-def _fault(call: Call, facts: AnswerFacts, status: int) -> Failure | None:
+def _fault(call: Call, facts: ResponseMetadata, status: int) -> Failure | None:
     """Return why an answer's head is not the answer to a call."""
     if facts.refused_unrun:
         return Failure(f'refused with {status}', ran=False, arrived=True)
--- a/src/amaranthrail/direct/ports.py
+++ b/src/amaranthrail/direct/ports.py
@@ -100,7 +100,7 @@
     slots: int
 
 
-class AnswerFacts(msgspec.Struct, frozen=True):
+class ResponseMetadata(msgspec.Struct, frozen=True):
     """Hold what the headers of an upstream's answer say.
 
     ``refused_unrun`` is the proof that the call has not run, ``replaced`` says
@@ -135,7 +135,7 @@
     configuration_key: str
     read_call: Callable[[HttpRequest], RequestMetadata]
     request_headers: Callable[[HttpRequest, Handover], HeaderList]
-    read_answer: Callable[[int, HeaderList], AnswerFacts]
+    read_answer: Callable[[int, HeaderList], ResponseMetadata]
     answer_headers: Callable[[HeaderList], HeaderList]
     refusal_headers: Callable[[Refusal], HeaderList]
     read_deployment: Callable[[bytes], Deployment | str]
--- a/src/amaranthrail/platform/headers.py
+++ b/src/amaranthrail/platform/headers.py
@@ -4,7 +4,12 @@
 
 from ..adapters.httpserver import HttpRequest
 from ..clock import MS_PER_SECOND
-from ..direct.ports import AnswerFacts, Handover, ReportedLoad, RequestMetadata
+from ..direct.ports import (
+    Handover,
+    ReportedLoad,
+    RequestMetadata,
+    ResponseMetadata,
+)
 from ..outcomes import Refusal
 from ..types import HeaderList, Millis
 
@@ -75,10 +80,10 @@
     return (*passed, *added)
 
 
-def read_answer(status: int, headers: HeaderList) -> AnswerFacts:
+def read_answer(status: int, headers: HeaderList) -> ResponseMetadata:
     """Return what the header fields of an upstream's answer say."""
     known = dict(headers)
-    return AnswerFacts(
+    return ResponseMetadata(
         attempt=known.get(_ATTEMPT),
         signed='replica-signature' in known,
         refused_unrun='not-executed' in known or status == _MISDIRECTED,
