--- a/src/amaranthrail/direct/attempt.py
+++ b/src/amaranthrail/direct/attempt.py
@@ -9,7 +9,7 @@
 from ..exceptions import HttpError
 from ..types import Millis
 from .call import Call, Failure, WholeAnswer
-from .ports import Dialect, Handover, ResponseMetadata
+from .ports import Dialect, ForwardingFields, ResponseMetadata
 from .relay import StreamRelay
 from .upstreams import Directory, Upstream
 
@@ -40,7 +40,7 @@
         """Return the answer, why there is none, or None once relayed."""
         headers = self._dialect.request_headers(
             call.request,
-            Handover(
+            ForwardingFields(
                 upstream.record.name,
                 Millis(call.deadline - self._clock.now()),
                 call.organisation,
--- a/src/amaranthrail/direct/ports.py
+++ b/src/amaranthrail/direct/ports.py
@@ -115,7 +115,7 @@
     load: ReportedLoad | None
 
 
-class Handover(msgspec.Struct, frozen=True):
+class ForwardingFields(msgspec.Struct, frozen=True):
     """Hold what an entry adds to a request that it passes on."""
 
     upstream: str
@@ -134,7 +134,7 @@
 
     configuration_key: str
     read_call: Callable[[HttpRequest], RequestMetadata]
-    request_headers: Callable[[HttpRequest, Handover], HeaderList]
+    request_headers: Callable[[HttpRequest, ForwardingFields], HeaderList]
     read_answer: Callable[[int, HeaderList], ResponseMetadata]
     answer_headers: Callable[[HeaderList], HeaderList]
     refusal_headers: Callable[[Refusal], HeaderList]
--- a/src/amaranthrail/platform/headers.py
+++ b/src/amaranthrail/platform/headers.py
@@ -5,7 +5,7 @@
 from ..adapters.httpserver import HttpRequest
 from ..clock import MS_PER_SECOND
 from ..direct.ports import (
-    Handover,
+    ForwardingFields,
     ReportedLoad,
     RequestMetadata,
     ResponseMetadata,
@@ -64,7 +64,9 @@
     )
 
 
-def request_headers(request: HttpRequest, handover: Handover) -> HeaderList:
+def request_headers(
+    request: HttpRequest, handover: ForwardingFields
+) -> HeaderList:
     """Return the fields with which a request is passed on."""
     dropped = _NOT_PASSED_ON | _named_by_connection(request)
     passed = [field for field in request.headers if field[0] not in dropped]
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -9,7 +9,7 @@
 import pytest
 
 from amaranthrail.direct.deployment import CallKind, Deployment, UpstreamState
-from amaranthrail.direct.ports import Handover
+from amaranthrail.direct.ports import ForwardingFields
 from amaranthrail.exceptions import SettingError
 from amaranthrail.outcomes import Reason, not_run
 from amaranthrail.platform import headers, records, store
@@ -184,7 +184,9 @@
     )
     assert headers.read_call(asked).credential == 'k1'
     assert headers.read_call(asked).patience_ms == Millis(900)
-    handover = Handover('i-1', Millis(850.7), OrganisationName('band'), '4', 1)
+    handover = ForwardingFields(
+        'i-1', Millis(850.7), OrganisationName('band'), '4', 1
+    )
     sent = dict(headers.request_headers(asked, handover))
     assert sent == {
         'host': 'h.example',
