--- a/src/amaranthrail/direct/attempt.py
+++ b/src/amaranthrail/direct/attempt.py
@@ -9,7 +9,7 @@
 from ..exceptions import HttpError
 from ..types import Millis
 from .call import Call, Failure, WholeAnswer
-from .ports import Dialect, ForwardingFields, ResponseMetadata
+from .ports import ForwardingFields, ResponseMetadata, WireFormat
 from .relay import StreamRelay
 from .upstreams import Directory, Upstream
 
@@ -23,7 +23,7 @@
     def __init__(
         self,
         clock: Clock,
-        dialect: Dialect,
+        dialect: WireFormat,
         directory: Directory,
     ) -> None:
         """Take the platform's formats and the upstreams."""
--- a/src/amaranthrail/direct/callers.py
+++ b/src/amaranthrail/direct/callers.py
@@ -16,7 +16,7 @@
 from .deployment import Deployment, Organisation, Route
 from .forward import Forwarder
 from .journal import Journal
-from .ports import Dialect, RequestMetadata
+from .ports import RequestMetadata, WireFormat
 
 #: Priorities that an upstream tells apart, 0 to this one.
 _MAX_PRIORITY = 9
@@ -28,7 +28,7 @@
     def __init__(
         self,
         world: ClusterState,
-        dialect: Dialect,
+        dialect: WireFormat,
         forwarder: Forwarder,
         journal: Journal,
         departure: Departure,
--- a/src/amaranthrail/direct/clusterstate.py
+++ b/src/amaranthrail/direct/clusterstate.py
@@ -8,7 +8,7 @@
 from ..logs import part_logger
 from ..types import ServiceName
 from .deployment import Deployment, Service
-from .ports import Dialect, StoreRecord
+from .ports import StoreRecord, WireFormat
 from .upstreams import Directory
 
 _log = part_logger('world')
@@ -28,7 +28,7 @@
     The highest version of the configuration wins and never goes back.
     """
 
-    def __init__(self, clock: Clock, dialect: Dialect) -> None:
+    def __init__(self, clock: Clock, dialect: WireFormat) -> None:
         """Start without knowing anything."""
         self._dialect = dialect
         self._deployment: Deployment | None = None
--- a/src/amaranthrail/direct/ports.py
+++ b/src/amaranthrail/direct/ports.py
@@ -125,7 +125,7 @@
     priority: int
 
 
-class Dialect(msgspec.Struct, frozen=True):
+class WireFormat(msgspec.Struct, frozen=True):
     """Bundle what translates the platform's formats.
 
     ``configuration_key`` is the key of the configuration in its topic. What
--- a/src/amaranthrail/direct/service.py
+++ b/src/amaranthrail/direct/service.py
@@ -31,7 +31,7 @@
 from .loads import ReportExchange, SharedLoads
 from .members import Members
 from .peers import Peers, PeerTies
-from .ports import Dialect, StorePort, Topic
+from .ports import StorePort, Topic, WireFormat
 from .repeats import Repeats
 from .settings import DirectSettings
 from .silence import SilenceWatch
@@ -57,7 +57,7 @@
         self,
         settings: DirectSettings,
         store: StorePort,
-        dialect: Dialect,
+        dialect: WireFormat,
         make_rank: MakeRank,
     ) -> None:
         """Take the settings and what speaks the platform's language."""
--- a/src/amaranthrail/platform/program.py
+++ b/src/amaranthrail/platform/program.py
@@ -11,7 +11,7 @@
 import trio
 
 from ..clock import sleep
-from ..direct.ports import Dialect
+from ..direct.ports import WireFormat
 from ..direct.service import DirectEntry
 from ..exceptions import SettingError
 from ..logs import (
@@ -30,7 +30,7 @@
 #: Time between two looks at the settings file, in ms.
 SETTINGS_INTERVAL_MS = 1000.0
 _log = part_logger('settings')
-DIALECT = Dialect(
+DIALECT = WireFormat(
     configuration_key='config',
     read_call=headers.read_call,
     request_headers=headers.request_headers,
