--- a/src/amaranthrail/direct/repeats.py
+++ b/src/amaranthrail/direct/repeats.py
@@ -7,7 +7,7 @@
 from ..clock import Clock
 from ..policy.repeats import RepeatBudget
 from ..types import ServiceName
-from .settings import RepeatBounds
+from .settings import RetryBudgetLimits
 
 
 class Repeats:
@@ -15,7 +15,7 @@
 
     def __init__(
         self,
-        bounds: RepeatBounds,
+        bounds: RetryBudgetLimits,
         clock: Clock,
         entries: Callable[[], int],
     ) -> None:
@@ -25,7 +25,7 @@
         self._entries = entries
         self._budgets: dict[ServiceName, RepeatBudget] = {}
 
-    def take_bounds(self, bounds: RepeatBounds) -> None:
+    def take_bounds(self, bounds: RetryBudgetLimits) -> None:
         """Put changed bounds in force; counts begin anew with them."""
         if bounds != self._bounds:
             self._bounds = bounds
--- a/src/amaranthrail/direct/settings.py
+++ b/src/amaranthrail/direct/settings.py
@@ -8,7 +8,7 @@
 from ..types import DomainName, Millis
 
 
-class RepeatBounds(msgspec.Struct, frozen=True):
+class RetryBudgetLimits(msgspec.Struct, frozen=True):
     """Bound repeats to a service, over all entries together."""
 
     ratio: float
@@ -35,4 +35,4 @@
     store: Address
     seeds: tuple[str, ...]
     shutdown_ms: Millis
-    repeats: RepeatBounds
+    repeats: RetryBudgetLimits
--- a/src/amaranthrail/platform/settings.py
+++ b/src/amaranthrail/platform/settings.py
@@ -7,7 +7,7 @@
 
 from ..adapters.httpclient import Address, parse_address
 from ..clock import MS_PER_SECOND
-from ..direct.settings import DirectSettings, RepeatBounds
+from ..direct.settings import DirectSettings, RetryBudgetLimits
 from ..exceptions import SettingError
 from ..types import DomainName, Millis
 
@@ -50,7 +50,7 @@
         ),
         # Time that a process has between SIGTERM and SIGKILL.
         shutdown_ms=Millis(_number(fields, 'bounds.grace_s') * MS_PER_SECOND),
-        repeats=RepeatBounds(
+        repeats=RetryBudgetLimits(
             ratio=_number(fields, 'bounds.retry_budget_ratio'),
             slack=_number(fields, 'bounds.retry_budget_slack'),
             window_ms=Millis(
