--- a/src/amaranthrail/direct/attempt.py
+++ b/src/amaranthrail/direct/attempt.py
@@ -8,7 +8,7 @@
 from ..clock import Clock
 from ..exceptions import HttpError
 from ..types import Millis
-from .call import Call, Failure, WholeAnswer
+from .call import BufferedResponse, Call, Failure
 from .ports import ForwardingFields, ResponseMetadata, WireFormat
 from .relay import StreamRelay
 from .upstreams import Directory, Upstream
@@ -36,7 +36,7 @@
         call: Call,
         upstream: Upstream,
         relay: StreamRelay,
-    ) -> WholeAnswer | Failure | None:
+    ) -> BufferedResponse | Failure | None:
         """Return the answer, why there is none, or None once relayed."""
         headers = self._dialect.request_headers(
             call.request,
@@ -74,7 +74,7 @@
         upstream: Upstream,
         relay: StreamRelay,
         exchange: HttpExchange,
-    ) -> WholeAnswer | Failure | None:
+    ) -> BufferedResponse | Failure | None:
         facts = self._dialect.read_answer(exchange.status, exchange.headers)
         if facts.replaced:
             self._directory.remove(upstream.record.name, 'replaced')
@@ -101,7 +101,7 @@
         async with aclosing(exchange.parts()) as parts:
             chunks = [part async for part in parts]
         self._note(upstream, failed=exchange.status >= _FIRST_SERVER_ERROR)
-        return WholeAnswer(exchange.status, headers, b''.join(chunks))
+        return BufferedResponse(exchange.status, headers, b''.join(chunks))
 
     def _note(self, upstream: Upstream, *, failed: bool) -> None:
         if failed:
--- a/src/amaranthrail/direct/call.py
+++ b/src/amaranthrail/direct/call.py
@@ -13,7 +13,7 @@
 from .ports import RequestMetadata
 
 
-class Choice(msgspec.Struct, frozen=True):
+class UpstreamChoice(msgspec.Struct, frozen=True):
     """Hold why an upstream was chosen: its calls when it was.
 
     ``others`` is the estimate of other entries' calls.
@@ -46,7 +46,7 @@
     sent: int = 0
     unreached: int = 0
     may_have_run: bool = False
-    choices: list[Choice] = msgspec.field(default_factory=list)
+    choices: list[UpstreamChoice] = msgspec.field(default_factory=list)
     crest: Crest | None = None
     repeat_counted: bool = False
 
@@ -56,7 +56,7 @@
         return frozenset(choice.upstream for choice in self.choices)
 
 
-class WholeAnswer(msgspec.Struct, frozen=True):
+class BufferedResponse(msgspec.Struct, frozen=True):
     """Hold an upstream's complete answer."""
 
     status: int
@@ -78,7 +78,7 @@
 
 
 @dataclass(slots=True)
-class StreamPace:
+class StreamTiming:
     """Hold when the events of a caller's stream came, in ms.
 
     ``first_ms`` counts from the call's arrival, ``longest_gap_ms`` is the
--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -18,7 +18,7 @@
 from ..policy.returns import return_after, return_later
 from ..types import DomainName, HeaderList
 from .attempt import Attempts
-from .call import Call, Choice, Failure, StreamPace, WholeAnswer
+from .call import BufferedResponse, Call, Failure, StreamTiming, UpstreamChoice
 from .clusterstate import ClusterState
 from .journal import Journal
 from .loads import SharedLoads
@@ -80,11 +80,11 @@
         relay = StreamRelay(
             reply,
             call.facts.last_event,
-            StreamPace(call.arrived_at),
+            StreamTiming(call.arrived_at),
             engines,
             partial(self._watch.wait, engines, partial(self._may_leave, call)),
         )
-        outcome: WholeAnswer | Refusal | None = None
+        outcome: BufferedResponse | Refusal | None = None
         left_ms = call.deadline - self._clock.now()
         is_expired = True
         try:
@@ -97,7 +97,7 @@
         if is_expired:
             outcome = _expired(call)
         self._journal.ended(call, outcome, relay.events, relay.pace)
-        if isinstance(outcome, WholeAnswer):
+        if isinstance(outcome, BufferedResponse):
             await reply.whole(outcome.status, outcome.headers, outcome.body)
         elif isinstance(outcome, Refusal) and not reply.started:
             await send_refusal(reply, outcome, self._refusal_headers(outcome))
@@ -106,9 +106,9 @@
         self,
         call: Call,
         relay: StreamRelay,
-    ) -> WholeAnswer | Refusal | None:
+    ) -> BufferedResponse | Refusal | None:
         """Return what the caller gets, None for a stream that is complete."""
-        failed: WholeAnswer | Failure | None = None
+        failed: BufferedResponse | Failure | None = None
         while True:
             upstream = self._place(call)
             if upstream is None:
@@ -138,7 +138,7 @@
         if view is None or upstream is None:
             return None
         call.choices.append(
-            Choice(
+            UpstreamChoice(
                 view.name,
                 upstream.record.beat,
                 view.own,
@@ -175,9 +175,11 @@
         call.repeat_counted = self._repeats.spend(call.service)
         return call.repeat_counted
 
-    def _may_repeat(self, call: Call, attempt: WholeAnswer | Failure) -> bool:
+    def _may_repeat(
+        self, call: Call, attempt: BufferedResponse | Failure
+    ) -> bool:
         """Tell whether a call is sent once more, and count it."""
-        if isinstance(attempt, WholeAnswer):
+        if isinstance(attempt, BufferedResponse):
             call.sent += 1
             if attempt.status < _FIRST_SERVER_ERROR:
                 return False
@@ -206,9 +208,9 @@
     def _given_up(
         self,
         call: Call,
-        failed: WholeAnswer | Failure | None,
-    ) -> WholeAnswer | Refusal:
-        if isinstance(failed, WholeAnswer):
+        failed: BufferedResponse | Failure | None,
+    ) -> BufferedResponse | Refusal:
+        if isinstance(failed, BufferedResponse):
             return failed
         cause = f'no upstream of {call.service} takes work'
         if failed is not None:
@@ -229,8 +231,8 @@
         )
 
 
-def _ran(attempt: WholeAnswer | Failure) -> bool:
-    return isinstance(attempt, WholeAnswer) or attempt.ran
+def _ran(attempt: BufferedResponse | Failure) -> bool:
+    return isinstance(attempt, BufferedResponse) or attempt.ran
 
 
 def _expired(call: Call) -> Refusal:
--- a/src/amaranthrail/direct/journal.py
+++ b/src/amaranthrail/direct/journal.py
@@ -8,7 +8,7 @@
 from ..logs import part_logger
 from ..metrics import Metrics
 from ..outcomes import Refusal
-from .call import Call, Failure, StreamPace, WholeAnswer
+from .call import BufferedResponse, Call, Failure, StreamTiming
 from .deployment import UpstreamRecord
 
 #: Served calls below this rate are all logged; above it, one in so many.
@@ -50,9 +50,9 @@
     def ended(
         self,
         call: Call,
-        outcome: WholeAnswer | Refusal | None,
+        outcome: BufferedResponse | Refusal | None,
         events: int,
-        pace: StreamPace,
+        pace: StreamTiming,
     ) -> None:
         """Note the end of a call."""
         took_ms = self._clock.now() - call.arrived_at
@@ -85,13 +85,13 @@
         self,
         call: Call,
         upstream: UpstreamRecord,
-        attempt: WholeAnswer | Failure,
+        attempt: BufferedResponse | Failure,
     ) -> None:
         """Note that a call is sent once more."""
         self._metrics.count('repeats')
         if not self._may_log_trouble():
             return
-        if isinstance(attempt, WholeAnswer):
+        if isinstance(attempt, BufferedResponse):
             cause = f'status {attempt.status}'
         else:
             cause = attempt.cause
--- a/src/amaranthrail/direct/relay.py
+++ b/src/amaranthrail/direct/relay.py
@@ -10,7 +10,7 @@
 from ..clock import Clock
 from ..exceptions import HttpError
 from ..types import HeaderList
-from .call import Failure, StreamPace
+from .call import Failure, StreamTiming
 from .pace import ServicePace
 from .streams import EventSplitter
 
@@ -29,7 +29,7 @@
         self,
         reply: Reply,
         last_id: str | None,
-        pace: StreamPace,
+        pace: StreamTiming,
         engines: ServicePace,
         patience: Patience,
     ) -> None:
@@ -46,7 +46,7 @@
         self._clock = Clock()
 
     @property
-    def pace(self) -> StreamPace:
+    def pace(self) -> StreamTiming:
         """Return when events came."""
         return self._pace
 
