--- a/src/amaranthrail/direct/relay.py
+++ b/src/amaranthrail/direct/relay.py
@@ -11,7 +11,7 @@
 from ..exceptions import HttpError
 from ..types import HeaderList
 from .call import Failure, StreamTiming
-from .pace import ServicePace
+from .steptimes import StepTimes
 from .streams import EventSplitter
 
 #: Makes what bounds one wait for an upstream; it swallows the end of a wait.
@@ -30,7 +30,7 @@
         reply: Reply,
         last_id: str | None,
         pace: StreamTiming,
-        engines: ServicePace,
+        engines: StepTimes,
         patience: Patience,
     ) -> None:
         """Take where the stream goes and the id that it begins after.
--- a/src/amaranthrail/direct/silence.py
+++ b/src/amaranthrail/direct/silence.py
@@ -10,7 +10,7 @@
 
 from ..clock import Clock, sleep
 from ..policy.silence import is_alone
-from .pace import ServicePace
+from .steptimes import StepTimes
 
 #: Time between two looks at all streams, in ms: a fifth of the silence that is
 #: borne.
@@ -19,7 +19,7 @@
 
 class _Wait(msgspec.Struct, frozen=True):
     since: float
-    engines: ServicePace
+    engines: StepTimes
     may_leave: Callable[[], bool]
 
 
@@ -34,7 +34,7 @@
     @contextmanager
     def wait(
         self,
-        engines: ServicePace,
+        engines: StepTimes,
         may_leave: Callable[[], bool],
     ) -> Iterator[None]:
         """End what is inside where only this stream is silent.
--- a/src/amaranthrail/direct/pace.py
+++ b/src/amaranthrail/direct/steptimes.py
@@ -13,7 +13,7 @@
 PACE_LIFE_MS = 2000.0
 
 
-class ServicePace:
+class StepTimes:
     """Hold the mean pause between the events of a service's streams."""
 
     def __init__(self, clock: Clock) -> None:
--- a/src/amaranthrail/direct/upstreams.py
+++ b/src/amaranthrail/direct/upstreams.py
@@ -11,8 +11,8 @@
 from ..policy.placement import UpstreamView, age_others
 from ..types import DomainName, ServiceName
 from .deployment import AgeKey, UpstreamRecord, UpstreamState
-from .pace import ServicePace
 from .ports import ReportedLoad
+from .steptimes import StepTimes
 
 #: Time for which a name that has gone is remembered, in ms: a late record must
 #: not bring it back. Records of one name are a heartbeat (1.2 s) apart.
@@ -124,7 +124,7 @@
         """Start empty."""
         self._clock = clock
         self._upstreams: dict[str, Upstream] = {}
-        self._paces: dict[ServiceName, ServicePace] = {}
+        self._paces: dict[ServiceName, StepTimes] = {}
         self._gone: dict[str, _Tombstone] = {}
 
     def __len__(self) -> int:
@@ -152,11 +152,11 @@
         """Return an upstream by its name."""
         return self._upstreams.get(name)
 
-    def pace(self, service: ServiceName) -> ServicePace:
+    def pace(self, service: ServiceName) -> StepTimes:
         """Return how a service's engines go, noted from now on."""
         pace = self._paces.get(service)
         if pace is None:
-            pace = ServicePace(self._clock)
+            pace = StepTimes(self._clock)
             self._paces[service] = pace
         return pace
 
