--- a/src/amaranthrail/direct/callers.py
+++ b/src/amaranthrail/direct/callers.py
@@ -12,11 +12,11 @@
 from ..types import Millis, OrganisationName, ServiceName
 from .call import Call
 from .clusterstate import ClusterState
-from .departure import Departure
 from .deployment import Deployment, Organisation, Route
 from .forward import Forwarder
 from .journal import Journal
 from .ports import RequestMetadata, WireFormat
+from .shutdown import GracefulShutdown
 
 #: Priorities that an upstream tells apart, 0 to this one.
 _MAX_PRIORITY = 9
@@ -31,7 +31,7 @@
         dialect: WireFormat,
         forwarder: Forwarder,
         journal: Journal,
-        departure: Departure,
+        departure: GracefulShutdown,
     ) -> None:
         """Take the parts that a request meets."""
         self._world = world
--- a/src/amaranthrail/direct/service.py
+++ b/src/amaranthrail/direct/service.py
@@ -24,7 +24,6 @@
 from .attempt import Attempts
 from .callers import Callers
 from .clusterstate import ClusterState
-from .departure import Departure
 from .deployment import CallerLimits
 from .forward import Forwarder, ForwarderSettings
 from .journal import Journal
@@ -34,6 +33,7 @@
 from .ports import StorePort, Topic, WireFormat
 from .repeats import Repeats
 from .settings import DirectSettings
+from .shutdown import GracefulShutdown
 from .silence import SilenceWatch
 from .sync import (
     StoreContact,
@@ -104,7 +104,7 @@
             self._clock,
         )
         self._state = ServerState(self._limits)
-        self._departure = Departure(self._contact, self._members)
+        self._departure = GracefulShutdown(self._contact, self._members)
         self._stopping = trio.Event()
 
     @property
--- a/src/amaranthrail/direct/departure.py
+++ b/src/amaranthrail/direct/shutdown.py
@@ -9,7 +9,7 @@
 from .sync import StoreContact
 
 
-class Departure:
+class GracefulShutdown:
     """Tell which calls are still taken, and when the process may end."""
 
     def __init__(self, contact: StoreContact, members: Members) -> None:
