--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -23,7 +23,7 @@
 from .journal import Journal
 from .loads import SharedLoads
 from .relay import StreamRelay
-from .repeats import Repeats
+from .retrybudgets import RetryBudgets
 from .silence import SilenceWatch
 from .upstreams import Upstream
 
@@ -57,7 +57,7 @@
         self,
         world: ClusterState,
         attempts: Attempts,
-        repeats: Repeats,
+        repeats: RetryBudgets,
         journal: Journal,
         settings: ForwarderSettings,
     ) -> None:
--- a/src/amaranthrail/direct/repeats.py
+++ b/src/amaranthrail/direct/retrybudgets.py
@@ -10,7 +10,7 @@
 from .settings import RetryBudgetLimits
 
 
-class Repeats:
+class RetryBudgets:
     """Count calls and repeats by service."""
 
     def __init__(
--- a/src/amaranthrail/direct/service.py
+++ b/src/amaranthrail/direct/service.py
@@ -31,7 +31,7 @@
 from .members import Members
 from .peers import Peers, PeerTies
 from .ports import StorePort, Topic, WireFormat
-from .repeats import Repeats
+from .retrybudgets import RetryBudgets
 from .settings import DirectSettings
 from .shutdown import GracefulShutdown
 from .silence import SilenceWatch
@@ -84,7 +84,7 @@
             self._world,
             self._contact,
         )
-        self._repeats = Repeats(
+        self._repeats = RetryBudgets(
             settings.repeats,
             self._clock,
             lambda: self._members.count,
