--- a/src/amaranthrail/direct/callers.py
+++ b/src/amaranthrail/direct/callers.py
@@ -11,10 +11,10 @@
 from ..policy.returns import return_after
 from ..types import Millis, OrganisationName, ServiceName
 from .call import Call
+from .calllog import CallLog
 from .clusterstate import ClusterState
 from .deployment import Deployment, Organisation, Route
 from .forward import Forwarder
-from .journal import Journal
 from .ports import RequestMetadata, WireFormat
 from .shutdown import GracefulShutdown
 
@@ -30,7 +30,7 @@
         world: ClusterState,
         dialect: WireFormat,
         forwarder: Forwarder,
-        journal: Journal,
+        journal: CallLog,
         departure: GracefulShutdown,
     ) -> None:
         """Take the parts that a request meets."""
--- a/src/amaranthrail/direct/journal.py
+++ b/src/amaranthrail/direct/calllog.py
@@ -37,7 +37,7 @@
         return self._count
 
 
-class Journal:
+class CallLog:
     """Explain what became of each call."""
 
     def __init__(self, clock: Clock, metrics: Metrics) -> None:
--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -19,8 +19,8 @@
 from ..types import DomainName, HeaderList
 from .attempt import Attempts
 from .call import BufferedResponse, Call, Failure, StreamTiming, UpstreamChoice
+from .calllog import CallLog
 from .clusterstate import ClusterState
-from .journal import Journal
 from .loads import SharedLoads
 from .relay import StreamRelay
 from .retrybudgets import RetryBudgets
@@ -58,7 +58,7 @@
         world: ClusterState,
         attempts: Attempts,
         repeats: RetryBudgets,
-        journal: Journal,
+        journal: CallLog,
         settings: ForwarderSettings,
     ) -> None:
         """Take the parts that a call uses."""
--- a/src/amaranthrail/direct/service.py
+++ b/src/amaranthrail/direct/service.py
@@ -23,10 +23,10 @@
 from ..ranks.keeper import MakeRank, MapKeeper
 from .attempt import Attempts
 from .callers import Callers
+from .calllog import CallLog
 from .clusterstate import ClusterState
 from .deployment import CallerLimits
 from .forward import Forwarder, ForwarderSettings
-from .journal import Journal
 from .loads import ReportExchange, SharedLoads
 from .members import Members
 from .peers import Peers, PeerTies
@@ -181,7 +181,7 @@
         self,
         listeners: list[trio.SocketListener],
     ) -> None:
-        journal = Journal(self._clock, self._metrics)
+        journal = CallLog(self._clock, self._metrics)
         forwarder = Forwarder(
             self._world,
             Attempts(
