--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -24,7 +24,7 @@
 from .loads import SharedLoads
 from .relay import StreamRelay
 from .retrybudgets import RetryBudgets
-from .silence import SilenceWatch
+from .stalls import StallDetector
 from .upstreams import Upstream
 
 _FIRST_SERVER_ERROR = 500
@@ -46,7 +46,7 @@
 
     domain: DomainName
     loads: SharedLoads
-    watch: SilenceWatch
+    watch: StallDetector
     refusal_headers: Callable[[Refusal], HeaderList]
 
 
--- a/src/amaranthrail/direct/service.py
+++ b/src/amaranthrail/direct/service.py
@@ -34,7 +34,7 @@
 from .retrybudgets import RetryBudgets
 from .settings import DirectSettings
 from .shutdown import GracefulShutdown
-from .silence import SilenceWatch
+from .stalls import StallDetector
 from .sync import (
     StoreContact,
     TopicFollower,
@@ -90,7 +90,7 @@
             lambda: self._members.count,
         )
         self._loads = SharedLoads(self._clock)
-        self._watch = SilenceWatch(self._clock)
+        self._watch = StallDetector(self._clock)
         self._exchange = ReportExchange(
             settings,
             self._world,
--- a/src/amaranthrail/direct/silence.py
+++ b/src/amaranthrail/direct/stalls.py
@@ -23,7 +23,7 @@
     may_leave: Callable[[], bool]
 
 
-class SilenceWatch:
+class StallDetector:
     """End the waits of streams that alone have fallen silent."""
 
     def __init__(self, clock: Clock) -> None:
