--- a/src/amaranthrail/direct/call.py
+++ b/src/amaranthrail/direct/call.py
@@ -20,7 +20,7 @@
     """
 
     upstream: str
-    beat: int
+    sequence: int
     own: int
     others: float
     avoided: bool
--- a/src/amaranthrail/direct/calllog.py
+++ b/src/amaranthrail/direct/calllog.py
@@ -99,7 +99,7 @@
             'sent again',
             **_identity(call),
             upstream=upstream.name,
-            upstream_beat=upstream.beat,
+            upstream_beat=upstream.sequence,
             cause=cause,
         )
 
@@ -163,7 +163,7 @@
         'version': call.version,
         'service': call.service,
         'chosen': [
-            f'{one.upstream} beat {one.beat}: own {one.own}, '
+            f'{one.upstream} beat {one.sequence}: own {one.own}, '
             f'others {one.others:g}{" avoided" if one.avoided else ""}'
             for one in call.choices
         ],
--- a/src/amaranthrail/direct/deployment.py
+++ b/src/amaranthrail/direct/deployment.py
@@ -176,7 +176,7 @@
 class UpstreamRecord(msgspec.Struct, frozen=True):
     """Hold what an upstream last said of itself.
 
-    ``started_at`` is the wall time of its start and ``beat`` counts what it
+    ``started_at`` is the wall time of its start and ``sequence`` counts what it
     has written since; both order records of one name.
     """
 
@@ -188,10 +188,10 @@
     slots: int
     state: UpstreamState
     started_at: int
-    beat: int
+    sequence: int
     text: bytes = b''
 
     @property
     def age_key(self) -> AgeKey:
         """Return what is higher in the later of two records of one name."""
-        return self.started_at, self.beat
+        return self.started_at, self.sequence
--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -140,7 +140,7 @@
         call.choices.append(
             UpstreamChoice(
                 view.name,
-                upstream.record.beat,
+                upstream.record.sequence,
                 view.own,
                 round(view.others, 1),
                 view.avoided,
--- a/src/amaranthrail/direct/peermessages.py
+++ b/src/amaranthrail/direct/peermessages.py
@@ -9,7 +9,7 @@
     """Say which record of an upstream an entry has."""
 
     started_at: int
-    beat: int
+    sequence: int
     state: str
 
 
@@ -25,7 +25,7 @@
 
     name: str
     started_at: int
-    beat: int
+    sequence: int
 
 
 class SyncResponse(msgspec.Struct, array_like=True, frozen=True):
--- a/src/amaranthrail/direct/peers.py
+++ b/src/amaranthrail/direct/peers.py
@@ -177,7 +177,7 @@
         known = {
             record.name: RecordVersion(
                 record.started_at,
-                record.beat,
+                record.sequence,
                 record.state.value,
             )
             for record in self._world.directory.records()
@@ -209,14 +209,14 @@
         for name, payload in news.upstreams.items():
             self._world.take_upstream(StoreRecord(name, payload), host)
         for gone in news.gone:
-            age_key = (gone.started_at, gone.beat)
+            age_key = (gone.started_at, gone.sequence)
             self._world.directory.remove_until(gone.name, age_key, host)
 
 
 def _is_news(record: UpstreamRecord, known: RecordVersion | None) -> bool:
     if known is None:
         return True
-    if record.age_key <= (known.started_at, known.beat):
+    if record.age_key <= (known.started_at, known.sequence):
         return False
     restarted = record.started_at != known.started_at
     return restarted or record.state.value != known.state
--- a/src/amaranthrail/direct/upstreams.py
+++ b/src/amaranthrail/direct/upstreams.py
@@ -259,5 +259,5 @@
         service=record.service,
         state=record.state.value,
         started_at=record.started_at,
-        beat=record.beat,
+        beat=record.sequence,
     )
--- a/tests/test_shared_loads.py
+++ b/tests/test_shared_loads.py
@@ -90,7 +90,7 @@
         SLOTS,
         UpstreamState.READY,
         started_at=1,
-        beat=1,
+        sequence=1,
     )
     upstream = Upstream(record, Clock(time))
     upstream.note_load(ReportedLoad(running=5, waiting=2, slots=SLOTS))
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -165,7 +165,7 @@
         await trio.sleep(0.5)
         known = world.directory.find('i-1')
         assert known is not None
-        assert known.record.beat == 5
+        assert known.record.sequence == 5
 
     later = Changes((beat('i-1', 1, sequence=5),), 3)
     earlier = Changes((beat('i-1', 1, sequence=2),), 4)
