--- a/src/amaranthrail/direct/deployment.py
+++ b/src/amaranthrail/direct/deployment.py
@@ -18,7 +18,7 @@
 
 #: What is higher in the later of two records of one upstream: the wall time of
 #: its start, then the count of its records since.
-AgeKey = tuple[int, int]
+OrderKey = tuple[int, int]
 
 
 class CallKind(Enum):
@@ -192,6 +192,6 @@
     text: bytes = b''
 
     @property
-    def age_key(self) -> AgeKey:
+    def order_key(self) -> OrderKey:
         """Return what is higher in the later of two records of one name."""
         return self.started_at, self.sequence
--- a/src/amaranthrail/direct/peers.py
+++ b/src/amaranthrail/direct/peers.py
@@ -197,8 +197,8 @@
                 if _is_news(record, ask.upstreams.get(record.name))
             },
             [
-                RemovedUpstream(name, *age_key)
-                for name, age_key in self._world.directory.gone()
+                RemovedUpstream(name, *order_key)
+                for name, order_key in self._world.directory.gone()
                 if name in ask.upstreams
             ],
         )
@@ -209,14 +209,14 @@
         for name, payload in news.upstreams.items():
             self._world.take_upstream(StoreRecord(name, payload), host)
         for gone in news.gone:
-            age_key = (gone.started_at, gone.sequence)
-            self._world.directory.remove_until(gone.name, age_key, host)
+            order_key = (gone.started_at, gone.sequence)
+            self._world.directory.remove_until(gone.name, order_key, host)
 
 
 def _is_news(record: UpstreamRecord, known: RecordVersion | None) -> bool:
     if known is None:
         return True
-    if record.age_key <= (known.started_at, known.sequence):
+    if record.order_key <= (known.started_at, known.sequence):
         return False
     restarted = record.started_at != known.started_at
     return restarted or record.state.value != known.state
--- a/src/amaranthrail/direct/upstreams.py
+++ b/src/amaranthrail/direct/upstreams.py
@@ -10,7 +10,7 @@
 from ..policy.outliers import Health
 from ..policy.placement import UpstreamView, age_others
 from ..types import DomainName, ServiceName
-from .deployment import AgeKey, UpstreamRecord, UpstreamState
+from .deployment import OrderKey, UpstreamRecord, UpstreamState
 from .ports import ReportedLoad
 from .steptimes import StepTimes
 
@@ -23,7 +23,7 @@
 _log = part_logger('upstreams')
 
 #: The last record's age of a name that has gone, and when that was noticed.
-_Tombstone = tuple[AgeKey, float]
+_Tombstone = tuple[OrderKey, float]
 
 
 class Upstream:
@@ -177,7 +177,7 @@
     def accept(self, record: UpstreamRecord) -> bool:
         """Take a record; tell whether it is not older than what was known."""
         gone = self._gone.get(record.name)
-        if gone is not None and record.age_key <= gone[0]:
+        if gone is not None and record.order_key <= gone[0]:
             return False
         known = self._upstreams.get(record.name)
         if known is None:
@@ -187,7 +187,7 @@
             self._upstreams[record.name] = Upstream(record, self._clock)
             _note('upstream added', record)
             return True
-        if record.age_key < known.record.age_key:
+        if record.order_key < known.record.order_key:
             return False
         if record.state is not known.record.state:
             _note('upstream changed', record)
@@ -200,26 +200,26 @@
         if upstream is None:
             return False
         record = upstream.record
-        self._gone[name] = (record.age_key, self._clock.now())
+        self._gone[name] = (record.order_key, self._clock.now())
         upstream.client.close_idle()
         _log.info('upstream removed', upstream=name, cause=cause)
         self._forget_old()
         return True
 
-    def gone(self) -> Iterator[tuple[str, AgeKey]]:
+    def gone(self) -> Iterator[tuple[str, OrderKey]]:
         """Yield each name that has gone and the age of its last record."""
-        for name, (age_key, _) in self._gone.items():
-            yield name, age_key
+        for name, (order_key, _) in self._gone.items():
+            yield name, order_key
 
     def remove_until(
         self,
         name: str,
-        age_key: AgeKey,
+        order_key: OrderKey,
         cause: str,
     ) -> None:
         """Forget an upstream unless its record is later than this."""
         known = self._upstreams.get(name)
-        if known is not None and known.record.age_key <= age_key:
+        if known is not None and known.record.order_key <= order_key:
             self.remove(name, cause)
 
     def _replace_at_address(self, record: UpstreamRecord) -> bool:
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -116,7 +116,7 @@
     assert not isinstance(read, str)
     assert (read.host, read.port) == ('10.0.0.1', 80)
     assert read.state is UpstreamState.READY
-    assert read.age_key == (1000, 1)
+    assert read.order_key == (1000, 1)
 
 
 @pytest.mark.parametrize(
