--- a/src/amaranthrail/direct/deployment.py
+++ b/src/amaranthrail/direct/deployment.py
@@ -86,10 +86,10 @@
 class Engine(msgspec.Struct, frozen=True):
     """Describe the engines of a service.
 
-    They write in passes, each ``tokens_per_pass`` of each stream.
+    They write in passes, each ``tokens_per_step`` of each stream.
     """
 
-    tokens_per_pass: int
+    tokens_per_step: int
 
 
 class Service(msgspec.Struct, frozen=True):
--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -161,7 +161,7 @@
         wish = StreamWish(
             left_ms=call.deadline - self._clock.now(),
             route_ms=call.route.timeout_ms,
-            passes=call.facts.expected_tokens / engine.tokens_per_pass,
+            passes=call.facts.expected_tokens / engine.tokens_per_step,
             continued=call.facts.last_event is not None,
         )
         return begins(wish, call.crest)
