--- a/src/amaranthrail/direct/peers.py
+++ b/src/amaranthrail/direct/peers.py
@@ -74,7 +74,7 @@
         self._world = world
         self._random = random.Random()
 
-    def take_settings(self, settings: DirectSettings) -> None:
+    def apply_settings(self, settings: DirectSettings) -> None:
         """Take changed settings."""
         self._settings = settings
 
--- a/src/amaranthrail/direct/service.py
+++ b/src/amaranthrail/direct/service.py
@@ -136,13 +136,13 @@
         """Begin to leave."""
         self._stopping.set()
 
-    def take_settings(self, settings: DirectSettings) -> None:
+    def apply_settings(self, settings: DirectSettings) -> None:
         """Put changed settings in force; addresses wait for the next start."""
         if settings == self._settings:
             return
         self._settings = settings
         self._members.take_seeds(settings.seeds)
-        self._peers.take_settings(settings)
+        self._peers.apply_settings(settings)
         self._repeats.take_bounds(settings.repeats)
         _log.info('settings reloaded', entry=settings.name)
 
--- a/src/amaranthrail/platform/program.py
+++ b/src/amaranthrail/platform/program.py
@@ -110,4 +110,4 @@
     except SettingError as error:
         _log.error('settings not reloaded', cause=str(error))
         return
-    entry.take_settings(settings)
+    entry.apply_settings(settings)
