--- a/src/amaranthrail/direct/service.py
+++ b/src/amaranthrail/direct/service.py
@@ -118,7 +118,7 @@
         return self._world
 
     @property
-    def leading(self) -> bool:
+    def is_leader(self) -> bool:
         """Tell whether this entry leads the expert maps."""
         return self._members.check_lead()
 
--- a/tests/test_lead.py
+++ b/tests/test_lead.py
@@ -12,7 +12,7 @@
 async def start_two(bench: PlatformBench) -> tuple[RunningEntry, RunningEntry]:
     """Start two entries that know each other; the first one leads."""
     first = await bench.start_entry(node_name='e1')
-    await until(lambda: first.entry.leading)
+    await until(lambda: first.entry.is_leader)
     second = await bench.start_entry(
         node_name='e2',
         seed_nodes=f'{first.address.host}:8229',
@@ -27,7 +27,7 @@
         first, second = await start_two(bench)
         bench.log.fault = StoreFault.REFUSING
         await trio.sleep(3)
-        assert (first.entry.leading, second.entry.leading) == (True, False)
+        assert (first.entry.is_leader, second.entry.is_leader) == (True, False)
 
     on_platform(scenario)
 
@@ -38,8 +38,8 @@
         await trio.sleep(2)
         bench.log.fault = StoreFault.REFUSING
         first.entry.stop()
-        await until(lambda: second.entry.leading)
-        assert not first.entry.leading
+        await until(lambda: second.entry.is_leader)
+        assert not first.entry.is_leader
 
     on_platform(scenario)
 
@@ -49,8 +49,8 @@
         first, second = await start_two(bench)
         for _ in range(30):
             await trio.sleep(0.1)
-            assert not second.entry.leading
-        assert first.entry.leading
+            assert not second.entry.is_leader
+        assert first.entry.is_leader
 
     on_platform(scenario)
 
