--- a/src/amaranthrail/direct/service.py
+++ b/src/amaranthrail/direct/service.py
@@ -113,7 +113,7 @@
         return self._settings
 
     @property
-    def world(self) -> ClusterState:
+    def cluster_state(self) -> ClusterState:
         """Return what the entry knows."""
         return self._world
 
--- a/tests/test_direct_path.py
+++ b/tests/test_direct_path.py
@@ -193,10 +193,10 @@
             await bench.add_replica(name)
         entry = await bench.start_entry()
         await entry.until_ready()
-        await until(lambda: len(entry.entry.world.directory) == 2)
+        await until(lambda: len(entry.entry.cluster_state.directory) == 2)
         bench.announce('p1', '127.0.0.1:9', state='draining')
         bench.log.topic('keyed.servers').put('p2', b'')
-        await until(lambda: len(entry.entry.world.directory) == 1)
+        await until(lambda: len(entry.entry.cluster_state.directory) == 1)
         answer = await entry.call('/read/1')
         assert answer.status == 503
 
@@ -224,7 +224,7 @@
         await entry.until_ready()
         fresh = route('fresh', 'idempotent', 'plain')
         bench.configure(9, routes=[fresh])
-        await until(lambda: entry.entry.world.version == 9, bound_s=2)
+        await until(lambda: entry.entry.cluster_state.version == 9, bound_s=2)
         # An older one that comes late changes nothing.
         bench.configure(4)
         await trio.sleep(0.3)
@@ -243,7 +243,7 @@
         bench.configure(9)
         bench.log.topic('keyed.op').forget_history()
         bench.log.fault = StoreFault.NONE
-        await until(lambda: entry.entry.world.version == 9)
+        await until(lambda: entry.entry.cluster_state.version == 9)
 
     on_platform(scenario)
 
@@ -282,9 +282,11 @@
                 'platform.address': str(address),
             }
             second = await bench.start_entry(**settings)
-            await until(lambda: second.entry.world.version == 1)
+            await until(lambda: second.entry.cluster_state.version == 1)
             bench.configure(9)
-            await until(lambda: second.entry.world.version == 9, bound_s=2)
+            await until(
+                lambda: second.entry.cluster_state.version == 9, bound_s=2
+            )
             nursery.cancel_scope.cancel()
 
     on_platform(scenario)
@@ -338,7 +340,7 @@
         slow = await bench.add_replica('e1', 'engine')
         slow.pause_s = 0.8
         entry = await bench.start_entry()
-        await until(lambda: len(entry.entry.world.directory) == 2)
+        await until(lambda: len(entry.entry.cluster_state.directory) == 2)
         call_long = partial(entry.call, deadline_remaining_ms='8000')
         async with trio.open_nursery() as nursery:
             nursery.start_soon(call_long, '/stream/1', 'POST')
@@ -398,7 +400,7 @@
             await until(lambda: bool(silent.ran))
             sound = await bench.add_replica('e2', 'engine')
             sound.pause_s = 0.05
-            await until(lambda: len(entry.entry.world.directory) == 2)
+            await until(lambda: len(entry.entry.cluster_state.directory) == 2)
             while not answers:
                 await call('/stream/2', 'POST')
         answer = answers[0]
