--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -126,7 +126,7 @@
 
     def _place(self, call: Call) -> Upstream | None:
         directory = self._world.directory
-        usable = directory.usable(call.service, call.tried)
+        usable = directory.ready_upstreams(call.service, call.tried)
         told = self._loads.totals()
         views = [
             one.view(self._domain, told[one.record.name]) for one in usable
@@ -168,7 +168,7 @@
 
     def _may_leave(self, call: Call) -> bool:
         """Tell whether a stream may leave its upstream, and count that."""
-        others = self._world.directory.usable(call.service, call.tried)
+        others = self._world.directory.ready_upstreams(call.service, call.tried)
         is_last = call.sent + 1 >= call.route.max_attempts
         if is_last or not others or not call.route.repeatable:
             return False
--- a/src/amaranthrail/direct/upstreams.py
+++ b/src/amaranthrail/direct/upstreams.py
@@ -160,7 +160,7 @@
             self._paces[service] = pace
         return pace
 
-    def usable(
+    def ready_upstreams(
         self,
         service: ServiceName,
         excluded: frozenset[str],
--- a/src/amaranthrail/ranks/keeper.py
+++ b/src/amaranthrail/ranks/keeper.py
@@ -88,7 +88,7 @@
         return leader
 
     async def _look(self, service: ServiceName, leader: Leader) -> None:
-        upstreams = self._world.directory.usable(service, frozenset())
+        upstreams = self._world.directory.ready_upstreams(service, frozenset())
         if not self._leads():
             if self._is_stalled(upstreams):
                 await self._meet(service, leader, upstreams)
