--- a/src/amaranthrail/direct/peers.py
+++ b/src/amaranthrail/direct/peers.py
@@ -106,7 +106,7 @@
 
     async def _follow_list(self) -> None:
         while True:
-            listed = await self._store.newest(Topic.ENTRIES)
+            listed = await self._store.read_snapshot(Topic.ENTRIES)
             if isinstance(listed, Snapshot):
                 self._members.take_listed(
                     record.key for record in listed.records
--- a/src/amaranthrail/direct/ports.py
+++ b/src/amaranthrail/direct/ports.py
@@ -55,7 +55,7 @@
 class StorePort(Protocol):
     """Read and write the keyed topics of the platform's store."""
 
-    async def newest(self, topic: Topic) -> Snapshot | StoreFailure:
+    async def read_snapshot(self, topic: Topic) -> Snapshot | StoreFailure:
         """Return the newest record of each key."""
 
     async def read(
--- a/src/amaranthrail/direct/sync.py
+++ b/src/amaranthrail/direct/sync.py
@@ -125,7 +125,7 @@
         return changes
 
     async def _read_whole(self) -> Snapshot | StoreFailure:
-        snapshot = await self._store.newest(self._topic)
+        snapshot = await self._store.read_snapshot(self._topic)
         self._contact.note(snapshot)
         if not isinstance(snapshot, Snapshot):
             return snapshot
--- a/src/amaranthrail/platform/store.py
+++ b/src/amaranthrail/platform/store.py
@@ -60,7 +60,7 @@
         """Take the store's address."""
         self._client = HttpClient(address)
 
-    async def newest(self, topic: Topic) -> Snapshot | StoreFailure:
+    async def read_snapshot(self, topic: Topic) -> Snapshot | StoreFailure:
         """Return the newest record of each key; see StorePort."""
         records: list[StoreRecord] = []
         first = f'/amaranthrail/log-newest?topic={_TOPIC_NAMES[topic]}&part=0'
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -37,7 +37,7 @@
         self.answers = deque(answers)
         self.asked: list[int | None] = []
 
-    async def newest(self, _topic: Topic) -> Snapshot | StoreFailure:
+    async def read_snapshot(self, _topic: Topic) -> Snapshot | StoreFailure:
         self.asked.append(None)
         answer = await self._next()
         assert not isinstance(answer, Changes)
