--- a/src/amaranthrail/direct/ports.py
+++ b/src/amaranthrail/direct/ports.py
@@ -58,7 +58,7 @@
     async def read_snapshot(self, topic: Topic) -> Snapshot | StoreFailure:
         """Return the newest record of each key."""
 
-    async def read(
+    async def read_changes(
         self,
         topic: Topic,
         offset: int,
--- a/src/amaranthrail/direct/sync.py
+++ b/src/amaranthrail/direct/sync.py
@@ -114,7 +114,9 @@
     ) -> Snapshot | Changes | StoreFailure:
         if self._offset is None:
             return await self._read_whole()
-        changes = await self._store.read(self._topic, self._offset, wait_ms)
+        changes = await self._store.read_changes(
+            self._topic, self._offset, wait_ms
+        )
         self._contact.note(changes)
         if isinstance(changes, Changes):
             self._offset = changes.end
--- a/src/amaranthrail/platform/store.py
+++ b/src/amaranthrail/platform/store.py
@@ -78,7 +78,7 @@
                 return Snapshot(tuple(records), page.end_offset)
             target = f'{first}&after={page.records[-1].key}'
 
-    async def read(
+    async def read_changes(
         self,
         topic: Topic,
         offset: int,
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -43,7 +43,7 @@
         assert not isinstance(answer, Changes)
         return answer
 
-    async def read(
+    async def read_changes(
         self,
         _topic: Topic,
         offset: int,
