--- a/src/amaranthrail/direct/callers.py
+++ b/src/amaranthrail/direct/callers.py
@@ -44,7 +44,7 @@
 
     async def handle(self, request: HttpRequest, reply: Reply) -> None:
         """Answer one request."""
-        facts = self._dialect.read_call(request)
+        facts = self._dialect.read_request(request)
         call = self._identify(request, facts)
         if isinstance(call, Refusal):
             self._journal.rejected(
--- a/src/amaranthrail/direct/ports.py
+++ b/src/amaranthrail/direct/ports.py
@@ -133,7 +133,7 @@
     """
 
     configuration_key: str
-    read_call: Callable[[HttpRequest], RequestMetadata]
+    read_request: Callable[[HttpRequest], RequestMetadata]
     request_headers: Callable[[HttpRequest, ForwardingFields], HeaderList]
     read_answer: Callable[[int, HeaderList], ResponseMetadata]
     answer_headers: Callable[[HeaderList], HeaderList]
