--- a/src/amaranthrail/direct/attempt.py
+++ b/src/amaranthrail/direct/attempt.py
@@ -75,7 +75,7 @@
         relay: StreamRelay,
         exchange: HttpExchange,
     ) -> BufferedResponse | Failure | None:
-        facts = self._dialect.read_answer(exchange.status, exchange.headers)
+        facts = self._dialect.read_response(exchange.status, exchange.headers)
         if facts.replaced:
             self._directory.remove(upstream.record.name, 'replaced')
             return Failure(
--- a/src/amaranthrail/direct/ports.py
+++ b/src/amaranthrail/direct/ports.py
@@ -135,7 +135,7 @@
     configuration_key: str
     read_request: Callable[[HttpRequest], RequestMetadata]
     request_headers: Callable[[HttpRequest, ForwardingFields], HeaderList]
-    read_answer: Callable[[int, HeaderList], ResponseMetadata]
+    read_response: Callable[[int, HeaderList], ResponseMetadata]
     answer_headers: Callable[[HeaderList], HeaderList]
     refusal_headers: Callable[[Refusal], HeaderList]
     read_deployment: Callable[[bytes], Deployment | str]
