--- a/src/amaranthrail/direct/attempt.py
+++ b/src/amaranthrail/direct/attempt.py
@@ -89,7 +89,7 @@
             return fault
         if facts.load is not None:
             upstream.note_load(facts.load)
-        headers = self._dialect.answer_headers(exchange.headers)
+        headers = self._dialect.response_headers(exchange.headers)
         if call.route.streaming and exchange.status < _FIRST_FAILURE:
             failure = await relay.take(
                 exchange,
--- a/src/amaranthrail/direct/ports.py
+++ b/src/amaranthrail/direct/ports.py
@@ -136,7 +136,7 @@
     read_request: Callable[[HttpRequest], RequestMetadata]
     request_headers: Callable[[HttpRequest, ForwardingFields], HeaderList]
     read_response: Callable[[int, HeaderList], ResponseMetadata]
-    answer_headers: Callable[[HeaderList], HeaderList]
+    response_headers: Callable[[HeaderList], HeaderList]
     refusal_headers: Callable[[Refusal], HeaderList]
     read_deployment: Callable[[bytes], Deployment | str]
     read_upstream: Callable[[str, bytes], UpstreamRecord | str]
