--- a/src/amaranthrail/direct/attempt.py
+++ b/src/amaranthrail/direct/attempt.py
@@ -114,7 +114,7 @@
     """Return why an answer's head is not the answer to a call."""
     if facts.refused_unrun:
         return Failure(f'refused with {status}', ran=False, arrived=True)
-    if facts.attempt != call.facts.attempt:
+    if facts.attempt_id != call.facts.attempt_id:
         return Failure('answer to another request', ran=True, arrived=True)
     if facts.encoded:
         return Failure('body is encoded', ran=True, arrived=True)
--- a/src/amaranthrail/direct/callers.py
+++ b/src/amaranthrail/direct/callers.py
@@ -48,7 +48,7 @@
         call = self._identify(request, facts)
         if isinstance(call, Refusal):
             self._journal.rejected(
-                facts.attempt,
+                facts.attempt_id,
                 call.reason.value,
                 self._world.version,
             )
--- a/src/amaranthrail/direct/calllog.py
+++ b/src/amaranthrail/direct/calllog.py
@@ -70,7 +70,7 @@
             return
         status = _HTTP_OK if outcome is None else outcome.status
         self._metrics.count('answered', status=str(status))
-        if self._is_sampled(call.facts.attempt):
+        if self._is_sampled(call.facts.attempt_id):
             _log.info(
                 'answered',
                 **_identity(call),
@@ -158,7 +158,7 @@
 
 def _identity(call: Call) -> dict[str, object]:
     return {
-        'request': call.facts.attempt,
+        'request': call.facts.attempt_id,
         'route': call.route.name,
         'version': call.version,
         'service': call.service,
--- a/src/amaranthrail/direct/ports.py
+++ b/src/amaranthrail/direct/ports.py
@@ -85,7 +85,7 @@
     far off, and 0 where there is none.
     """
 
-    attempt: str
+    attempt_id: str
     credential: str | None
     patience_ms: Millis | None
     last_event: str | None
@@ -107,7 +107,7 @@
     that another upstream has the address by now.
     """
 
-    attempt: str | None
+    attempt_id: str | None
     signed: bool
     refused_unrun: bool
     replaced: bool
--- a/src/amaranthrail/platform/headers.py
+++ b/src/amaranthrail/platform/headers.py
@@ -56,7 +56,7 @@
 def read_call(request: HttpRequest) -> RequestMetadata:
     """Return what a caller's header fields say."""
     return RequestMetadata(
-        attempt=request.header(_ATTEMPT) or '',
+        attempt_id=request.header(_ATTEMPT) or '',
         credential=_read_credential(request.header('authorization')),
         patience_ms=_read_millis(request.header(_REMAINING)),
         last_event=request.header(_LAST_EVENT),
@@ -86,7 +86,7 @@
     """Return what the header fields of an upstream's answer say."""
     known = dict(headers)
     return ResponseMetadata(
-        attempt=known.get(_ATTEMPT),
+        attempt_id=known.get(_ATTEMPT),
         signed='replica-signature' in known,
         refused_unrun='not-executed' in known or status == _MISDIRECTED,
         replaced=status == _MISDIRECTED,
