--- a/src/amaranthrail/direct/callers.py
+++ b/src/amaranthrail/direct/callers.py
@@ -94,10 +94,10 @@
         organisation: Organisation | None,
     ) -> Call:
         now = self._clock.now()
-        patience_ms = facts.patience_ms
+        timeout_ms = facts.timeout_ms
         left_ms = route.timeout_ms
-        if patience_ms is not None:
-            left_ms = min(left_ms, patience_ms)
+        if timeout_ms is not None:
+            left_ms = min(left_ms, timeout_ms)
         name: OrganisationName | None = None
         priority = route.priority
         if organisation is not None:
--- a/src/amaranthrail/direct/ports.py
+++ b/src/amaranthrail/direct/ports.py
@@ -87,7 +87,7 @@
 
     attempt_id: str
     credential: str | None
-    patience_ms: Millis | None
+    timeout_ms: Millis | None
     last_event: str | None
     expected_tokens: int = 0
 
--- a/src/amaranthrail/platform/headers.py
+++ b/src/amaranthrail/platform/headers.py
@@ -58,7 +58,7 @@
     return RequestMetadata(
         attempt_id=request.header(_ATTEMPT) or '',
         credential=_read_credential(request.header('authorization')),
-        patience_ms=_read_millis(request.header(_REMAINING)),
+        timeout_ms=_read_millis(request.header(_REMAINING)),
         last_event=request.header(_LAST_EVENT),
         expected_tokens=_read_count(request.header('length-hint') or ''),
     )
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -183,7 +183,7 @@
         ),
     )
     assert headers.read_call(asked).credential == 'k1'
-    assert headers.read_call(asked).patience_ms == Millis(900)
+    assert headers.read_call(asked).timeout_ms == Millis(900)
     handover = ForwardingFields(
         'i-1', Millis(850.7), OrganisationName('band'), '4', 1
     )
