--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -79,7 +79,7 @@
         engines = self._world.directory.pace(call.service)
         relay = StreamRelay(
             reply,
-            call.facts.last_event,
+            call.facts.last_event_id,
             StreamTiming(call.arrived_at),
             engines,
             partial(self._watch.wait, engines, partial(self._may_leave, call)),
@@ -162,7 +162,7 @@
             left_ms=call.deadline - self._clock.now(),
             route_ms=call.route.timeout_ms,
             passes=call.facts.expected_tokens / engine.tokens_per_step,
-            continued=call.facts.last_event is not None,
+            continued=call.facts.last_event_id is not None,
         )
         return begins(wish, call.crest)
 
--- a/src/amaranthrail/direct/ports.py
+++ b/src/amaranthrail/direct/ports.py
@@ -88,7 +88,7 @@
     attempt_id: str
     credential: str | None
     timeout_ms: Millis | None
-    last_event: str | None
+    last_event_id: str | None
     expected_tokens: int = 0
 
 
@@ -121,7 +121,7 @@
     upstream: str
     left_ms: Millis
     organisation: OrganisationName | None
-    last_event: str | None
+    last_event_id: str | None
     priority: int
 
 
--- a/src/amaranthrail/platform/headers.py
+++ b/src/amaranthrail/platform/headers.py
@@ -59,7 +59,7 @@
         attempt_id=request.header(_ATTEMPT) or '',
         credential=_read_credential(request.header('authorization')),
         timeout_ms=_read_millis(request.header(_REMAINING)),
-        last_event=request.header(_LAST_EVENT),
+        last_event_id=request.header(_LAST_EVENT),
         expected_tokens=_read_count(request.header('length-hint') or ''),
     )
 
@@ -77,8 +77,8 @@
     ]
     if handover.organisation is not None:
         added.append((_ORGANISATION, handover.organisation))
-    if handover.last_event is not None:
-        added.append((_LAST_EVENT, handover.last_event))
+    if handover.last_event_id is not None:
+        added.append((_LAST_EVENT, handover.last_event_id))
     return (*passed, *added)
 
 
