--- a/src/amaranthrail/direct/ports.py
+++ b/src/amaranthrail/direct/ports.py
@@ -119,7 +119,7 @@
     """Hold what an entry adds to a request that it passes on."""
 
     upstream: str
-    left_ms: Millis
+    remaining_ms: Millis
     organisation: OrganisationName | None
     last_event_id: str | None
     priority: int
--- a/src/amaranthrail/platform/headers.py
+++ b/src/amaranthrail/platform/headers.py
@@ -71,7 +71,7 @@
     dropped = _NOT_PASSED_ON | _named_by_connection(request)
     passed = [field for field in request.headers if field[0] not in dropped]
     added = [
-        (_REMAINING, str(max(1, int(handover.left_ms)))),
+        (_REMAINING, str(max(1, int(handover.remaining_ms)))),
         (_EXPECT, handover.upstream),
         (_PRIORITY, str(handover.priority)),
     ]
