--- a/src/amaranthrail/direct/attempt.py
+++ b/src/amaranthrail/direct/attempt.py
@@ -112,7 +112,7 @@
 
 def _fault(call: Call, facts: ResponseMetadata, status: int) -> Failure | None:
     """Return why an answer's head is not the answer to a call."""
-    if facts.refused_unrun:
+    if facts.not_executed:
         return Failure(f'refused with {status}', ran=False, arrived=True)
     if facts.attempt_id != call.facts.attempt_id:
         return Failure('answer to another request', ran=True, arrived=True)
--- a/src/amaranthrail/direct/ports.py
+++ b/src/amaranthrail/direct/ports.py
@@ -103,13 +103,13 @@
 class ResponseMetadata(msgspec.Struct, frozen=True):
     """Hold what the headers of an upstream's answer say.
 
-    ``refused_unrun`` is the proof that the call has not run, ``replaced`` says
+    ``not_executed`` is the proof that the call has not run, ``replaced`` says
     that another upstream has the address by now.
     """
 
     attempt_id: str | None
     signed: bool
-    refused_unrun: bool
+    not_executed: bool
     replaced: bool
     encoded: bool
     load: ReportedLoad | None
--- a/src/amaranthrail/platform/headers.py
+++ b/src/amaranthrail/platform/headers.py
@@ -88,7 +88,7 @@
     return ResponseMetadata(
         attempt_id=known.get(_ATTEMPT),
         signed='replica-signature' in known,
-        refused_unrun='not-executed' in known or status == _MISDIRECTED,
+        not_executed='not-executed' in known or status == _MISDIRECTED,
         replaced=status == _MISDIRECTED,
         encoded='content-encoding' in known,
         load=_read_load(known.get('replica-load')),
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -217,7 +217,7 @@
     replaced: bool,
 ) -> None:
     facts = headers.read_answer(status, fields)
-    assert facts.refused_unrun is unrun
+    assert facts.not_executed is unrun
     assert facts.replaced is replaced
 
 
