--- a/src/amaranthrail/direct/service.py
+++ b/src/amaranthrail/direct/service.py
@@ -85,7 +85,7 @@
             self._contact,
         )
         self._repeats = RetryBudgets(
-            settings.repeats,
+            settings.retry_limits,
             self._clock,
             lambda: self._members.count,
         )
@@ -143,7 +143,7 @@
         self._settings = settings
         self._members.take_seeds(settings.seeds)
         self._peers.apply_settings(settings)
-        self._repeats.take_bounds(settings.repeats)
+        self._repeats.take_bounds(settings.retry_limits)
         _log.info('settings reloaded', entry=settings.name)
 
     async def run(self) -> None:
--- a/src/amaranthrail/direct/settings.py
+++ b/src/amaranthrail/direct/settings.py
@@ -35,4 +35,4 @@
     store: Address
     seeds: tuple[str, ...]
     shutdown_ms: Millis
-    repeats: RetryBudgetLimits
+    retry_limits: RetryBudgetLimits
--- a/src/amaranthrail/platform/settings.py
+++ b/src/amaranthrail/platform/settings.py
@@ -50,7 +50,7 @@
         ),
         # Time that a process has between SIGTERM and SIGKILL.
         shutdown_ms=Millis(_number(fields, 'bounds.grace_s') * MS_PER_SECOND),
-        repeats=RetryBudgetLimits(
+        retry_limits=RetryBudgetLimits(
             ratio=_number(fields, 'bounds.retry_budget_ratio'),
             slack=_number(fields, 'bounds.retry_budget_slack'),
             window_ms=Millis(
