--- a/src/amaranthrail/direct/attempt.py
+++ b/src/amaranthrail/direct/attempt.py
@@ -57,7 +57,7 @@
                 call.request.body,
                 # A kept connection may have been closed by the other end, and
                 # then nobody can tell whether the request was read.
-                fresh=not call.route.repeatable,
+                fresh=not call.route.retryable,
                 patience=relay.patience(),
             ) as exchange:
                 return await self._take(call, upstream, relay, exchange)
--- a/src/amaranthrail/direct/deployment.py
+++ b/src/amaranthrail/direct/deployment.py
@@ -62,7 +62,7 @@
         return self.kind is CallKind.STREAMING
 
     @property
-    def repeatable(self) -> bool:
+    def retryable(self) -> bool:
         """Tell whether a call that may have run may be sent again."""
         if self.streaming:
             return self.resumable
--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -170,7 +170,7 @@
         """Tell whether a stream may leave its upstream, and count that."""
         others = self._world.directory.ready_upstreams(call.service, call.tried)
         is_last = call.sent + 1 >= call.route.max_attempts
-        if is_last or not others or not call.route.repeatable:
+        if is_last or not others or not call.route.retryable:
             return False
         call.repeat_counted = self._repeats.spend(call.service)
         return call.repeat_counted
@@ -187,7 +187,7 @@
             return self._may_redirect(call, attempt)
         else:
             call.sent += 1
-        if call.may_have_run and not call.route.repeatable:
+        if call.may_have_run and not call.route.retryable:
             return False
         if call.sent >= call.route.max_attempts or not self._has_time(call):
             return False
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -68,7 +68,7 @@
     assert (read.credentials or {})['k2'].name == 'band'
     found = read.find_route('H.example', '/stream/x')
     assert found is not None
-    assert (found.kind, found.repeatable) == (CallKind.STREAMING, True)
+    assert (found.kind, found.retryable) == (CallKind.STREAMING, True)
 
 
 @pytest.mark.parametrize(
