--- a/src/amaranthrail/direct/attempt.py
+++ b/src/amaranthrail/direct/attempt.py
@@ -8,8 +8,8 @@
 from ..clock import Clock
 from ..exceptions import HttpError
 from ..types import Millis
-from .call import Call, Failure, WholeAnswer
-from .ports import AnswerFacts, Dialect, Handover
+from .call import BufferedResponse, Call, Failure
+from .ports import ForwardingFields, ResponseMetadata, WireFormat
 from .relay import StreamRelay
 from .upstreams import Directory, Upstream
 
@@ -23,7 +23,7 @@
     def __init__(
         self,
         clock: Clock,
-        dialect: Dialect,
+        dialect: WireFormat,
         directory: Directory,
     ) -> None:
         """Take the platform's formats and the upstreams."""
@@ -36,11 +36,11 @@
         call: Call,
         upstream: Upstream,
         relay: StreamRelay,
-    ) -> WholeAnswer | Failure | None:
+    ) -> BufferedResponse | Failure | None:
         """Return the answer, why there is none, or None once relayed."""
         headers = self._dialect.request_headers(
             call.request,
-            Handover(
+            ForwardingFields(
                 upstream.record.name,
                 Millis(call.deadline - self._clock.now()),
                 call.organisation,
@@ -57,7 +57,7 @@
                 call.request.body,
                 # A kept connection may have been closed by the other end, and
                 # then nobody can tell whether the request was read.
-                fresh=not call.route.repeatable,
+                fresh=not call.route.retryable,
                 patience=relay.patience(),
             ) as exchange:
                 return await self._take(call, upstream, relay, exchange)
@@ -74,8 +74,8 @@
         upstream: Upstream,
         relay: StreamRelay,
         exchange: HttpExchange,
-    ) -> WholeAnswer | Failure | None:
-        facts = self._dialect.read_answer(exchange.status, exchange.headers)
+    ) -> BufferedResponse | Failure | None:
+        facts = self._dialect.read_response(exchange.status, exchange.headers)
         if facts.replaced:
             self._directory.remove(upstream.record.name, 'replaced')
             return Failure(
@@ -89,7 +89,7 @@
             return fault
         if facts.load is not None:
             upstream.note_load(facts.load)
-        headers = self._dialect.answer_headers(exchange.headers)
+        headers = self._dialect.response_headers(exchange.headers)
         if call.route.streaming and exchange.status < _FIRST_FAILURE:
             failure = await relay.take(
                 exchange,
@@ -101,7 +101,7 @@
         async with aclosing(exchange.parts()) as parts:
             chunks = [part async for part in parts]
         self._note(upstream, failed=exchange.status >= _FIRST_SERVER_ERROR)
-        return WholeAnswer(exchange.status, headers, b''.join(chunks))
+        return BufferedResponse(exchange.status, headers, b''.join(chunks))
 
     def _note(self, upstream: Upstream, *, failed: bool) -> None:
         if failed:
@@ -110,11 +110,11 @@
             upstream.health.record_success()
 
 
-def _fault(call: Call, facts: AnswerFacts, status: int) -> Failure | None:
+def _fault(call: Call, facts: ResponseMetadata, status: int) -> Failure | None:
     """Return why an answer's head is not the answer to a call."""
-    if facts.refused_unrun:
+    if facts.not_executed:
         return Failure(f'refused with {status}', ran=False, arrived=True)
-    if facts.attempt != call.facts.attempt:
+    if facts.attempt_id != call.facts.attempt_id:
         return Failure('answer to another request', ran=True, arrived=True)
     if facts.encoded:
         return Failure('body is encoded', ran=True, arrived=True)
--- a/src/amaranthrail/direct/callers.py
+++ b/src/amaranthrail/direct/callers.py
@@ -11,12 +11,12 @@
 from ..policy.retryafter import choose_retry_after_ms
 from ..types import Millis, OrganisationName, ServiceName
 from .call import Call
-from .departure import Departure
+from .calllog import CallLog
+from .clusterstate import ClusterState
 from .deployment import Deployment, Organisation, Route
 from .forward import Forwarder
-from .journal import Journal
-from .ports import CallFacts, Dialect
-from .world import World
+from .ports import RequestMetadata, WireFormat
+from .shutdown import GracefulShutdown
 
 #: Priorities that an upstream tells apart, 0 to this one.
 _MAX_PRIORITY = 9
@@ -27,11 +27,11 @@
 
     def __init__(
         self,
-        world: World,
-        dialect: Dialect,
+        world: ClusterState,
+        dialect: WireFormat,
         forwarder: Forwarder,
-        journal: Journal,
-        departure: Departure,
+        journal: CallLog,
+        departure: GracefulShutdown,
     ) -> None:
         """Take the parts that a request meets."""
         self._world = world
@@ -44,11 +44,11 @@
 
     async def handle(self, request: HttpRequest, reply: Reply) -> None:
         """Answer one request."""
-        facts = self._dialect.read_call(request)
+        facts = self._dialect.read_request(request)
         call = self._identify(request, facts)
         if isinstance(call, Refusal):
             self._journal.rejected(
-                facts.attempt,
+                facts.attempt_id,
                 call.reason.value,
                 self._world.version,
             )
@@ -60,7 +60,7 @@
     def _identify(
         self,
         request: HttpRequest,
-        facts: CallFacts,
+        facts: RequestMetadata,
     ) -> Call | Refusal:
         deployment = self._world.deployment
         if deployment is None:
@@ -89,15 +89,15 @@
         self,
         deployment: Deployment,
         request: HttpRequest,
-        facts: CallFacts,
+        facts: RequestMetadata,
         route: Route,
         organisation: Organisation | None,
     ) -> Call:
         now = self._clock.now()
-        patience_ms = facts.patience_ms
+        timeout_ms = facts.timeout_ms
         left_ms = route.timeout_ms
-        if patience_ms is not None:
-            left_ms = min(left_ms, patience_ms)
+        if timeout_ms is not None:
+            left_ms = min(left_ms, timeout_ms)
         name: OrganisationName | None = None
         priority = route.priority
         if organisation is not None:
--- a/src/amaranthrail/direct/journal.py
+++ b/src/amaranthrail/direct/calllog.py
@@ -8,7 +8,7 @@
 from ..logs import part_logger
 from ..metrics import Metrics
 from ..outcomes import Refusal
-from .call import Call, Failure, StreamPace, WholeAnswer
+from .call import BufferedResponse, Call, Failure, StreamTiming
 from .deployment import UpstreamRecord
 
 #: Served calls below this rate are all logged; above it, one in so many.
@@ -37,7 +37,7 @@
         return self._count
 
 
-class Journal:
+class CallLog:
     """Explain what became of each call."""
 
     def __init__(self, clock: Clock, metrics: Metrics) -> None:
@@ -50,9 +50,9 @@
     def ended(
         self,
         call: Call,
-        outcome: WholeAnswer | Refusal | None,
+        outcome: BufferedResponse | Refusal | None,
         events: int,
-        pace: StreamPace,
+        pace: StreamTiming,
     ) -> None:
         """Note the end of a call."""
         took_ms = self._clock.now() - call.arrived_at
@@ -70,7 +70,7 @@
             return
         status = _HTTP_OK if outcome is None else outcome.status
         self._metrics.count('answered', status=str(status))
-        if self._is_sampled(call.facts.attempt):
+        if self._is_sampled(call.facts.attempt_id):
             _log.info(
                 'answered',
                 **_identity(call),
@@ -85,13 +85,13 @@
         self,
         call: Call,
         upstream: UpstreamRecord,
-        attempt: WholeAnswer | Failure,
+        attempt: BufferedResponse | Failure,
     ) -> None:
         """Note that a call is sent once more."""
         self._metrics.count('repeats')
         if not self._may_log_trouble():
             return
-        if isinstance(attempt, WholeAnswer):
+        if isinstance(attempt, BufferedResponse):
             cause = f'status {attempt.status}'
         else:
             cause = attempt.cause
@@ -99,7 +99,7 @@
             'sent again',
             **_identity(call),
             upstream=upstream.name,
-            upstream_beat=upstream.beat,
+            upstream_beat=upstream.sequence,
             cause=cause,
         )
 
@@ -158,12 +158,12 @@
 
 def _identity(call: Call) -> dict[str, object]:
     return {
-        'request': call.facts.attempt,
+        'request': call.facts.attempt_id,
         'route': call.route.name,
         'version': call.version,
         'service': call.service,
         'chosen': [
-            f'{one.upstream} beat {one.beat}: own {one.own}, '
+            f'{one.upstream} beat {one.sequence}: own {one.own}, '
             f'others {one.others:g}{" avoided" if one.avoided else ""}'
             for one in call.choices
         ],
--- a/src/amaranthrail/direct/deployment.py
+++ b/src/amaranthrail/direct/deployment.py
@@ -18,7 +18,7 @@
 
 #: What is higher in the later of two records of one upstream: the wall time of
 #: its start, then the count of its records since.
-AgeKey = tuple[int, int]
+OrderKey = tuple[int, int]
 
 
 class CallKind(Enum):
@@ -62,7 +62,7 @@
         return self.kind is CallKind.STREAMING
 
     @property
-    def repeatable(self) -> bool:
+    def retryable(self) -> bool:
         """Tell whether a call that may have run may be sent again."""
         if self.streaming:
             return self.resumable
@@ -86,10 +86,10 @@
 class Engine(msgspec.Struct, frozen=True):
     """Describe the engines of a service.
 
-    They write in passes, each ``tokens_per_pass`` of each stream.
+    They write in passes, each ``tokens_per_step`` of each stream.
     """
 
-    tokens_per_pass: int
+    tokens_per_step: int
 
 
 class Service(msgspec.Struct, frozen=True):
@@ -176,7 +176,7 @@
 class UpstreamRecord(msgspec.Struct, frozen=True):
     """Hold what an upstream last said of itself.
 
-    ``started_at`` is the wall time of its start and ``beat`` counts what it
+    ``started_at`` is the wall time of its start and ``sequence`` counts what it
     has written since; both order records of one name.
     """
 
@@ -188,10 +188,10 @@
     slots: int
     state: UpstreamState
     started_at: int
-    beat: int
+    sequence: int
     text: bytes = b''
 
     @property
-    def age_key(self) -> AgeKey:
+    def order_key(self) -> OrderKey:
         """Return what is higher in the later of two records of one name."""
-        return self.started_at, self.beat
+        return self.started_at, self.sequence
--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -25,14 +25,14 @@
 )
 from ..types import DomainName, HeaderList
 from .attempt import Attempts
-from .call import Call, Choice, Failure, StreamPace, WholeAnswer
-from .journal import Journal
+from .call import BufferedResponse, Call, Failure, StreamTiming, UpstreamChoice
+from .calllog import CallLog
+from .clusterstate import ClusterState
 from .loads import SharedLoads
 from .relay import StreamRelay
-from .repeats import Repeats
-from .silence import SilenceWatch
+from .retrybudgets import RetryBudgets
+from .stalls import StallDetector
 from .upstreams import Upstream
-from .world import World
 
 _FIRST_SERVER_ERROR = 500
 #: Time after a call's deadline at which it is given up, in ms: the upstream's
@@ -53,7 +53,7 @@
 
     domain: DomainName
     loads: SharedLoads
-    watch: SilenceWatch
+    watch: StallDetector
     refusal_headers: Callable[[Refusal], HeaderList]
 
 
@@ -62,10 +62,10 @@
 
     def __init__(
         self,
-        world: World,
+        world: ClusterState,
         attempts: Attempts,
-        repeats: Repeats,
-        journal: Journal,
+        repeats: RetryBudgets,
+        journal: CallLog,
         settings: ForwarderSettings,
     ) -> None:
         """Take the parts that a call uses."""
@@ -86,12 +86,12 @@
         engines = self._world.directory.pace(call.service)
         relay = StreamRelay(
             reply,
-            call.facts.last_event,
-            StreamPace(call.arrived_at),
+            call.facts.last_event_id,
+            StreamTiming(call.arrived_at),
             engines,
             partial(self._watch.wait, engines, partial(self._may_leave, call)),
         )
-        outcome: WholeAnswer | Refusal | None = None
+        outcome: BufferedResponse | Refusal | None = None
         left_ms = call.deadline - self._clock.now()
         is_expired = True
         try:
@@ -104,7 +104,7 @@
         if is_expired:
             outcome = _expired(call)
         self._journal.ended(call, outcome, relay.events, relay.pace)
-        if isinstance(outcome, WholeAnswer):
+        if isinstance(outcome, BufferedResponse):
             await reply.whole(outcome.status, outcome.headers, outcome.body)
         elif isinstance(outcome, Refusal) and not reply.started:
             await send_refusal(reply, outcome, self._refusal_headers(outcome))
@@ -113,9 +113,9 @@
         self,
         call: Call,
         relay: StreamRelay,
-    ) -> WholeAnswer | Refusal | None:
+    ) -> BufferedResponse | Refusal | None:
         """Return what the caller gets, None for a stream that is complete."""
-        failed: WholeAnswer | Failure | None = None
+        failed: BufferedResponse | Failure | None = None
         while True:
             upstream = self._place(call)
             if upstream is None:
@@ -133,7 +133,7 @@
 
     def _place(self, call: Call) -> Upstream | None:
         directory = self._world.directory
-        usable = directory.usable(call.service, call.tried)
+        usable = directory.ready_upstreams(call.service, call.tried)
         told = self._loads.totals()
         views = [
             one.view(self._domain, told[one.record.name]) for one in usable
@@ -145,9 +145,9 @@
         if view is None or upstream is None:
             return None
         call.choices.append(
-            Choice(
+            UpstreamChoice(
                 view.name,
-                upstream.record.beat,
+                upstream.record.sequence,
                 view.own_calls,
                 round(view.others, 1),
                 view.avoided,
@@ -168,23 +168,25 @@
         wish = StreamRequest(
             remaining_ms=call.deadline - self._clock.now(),
             route_timeout_ms=call.route.timeout_ms,
-            steps=call.facts.expected_tokens / engine.tokens_per_pass,
-            is_resumed=call.facts.last_event is not None,
+            steps=call.facts.expected_tokens / engine.tokens_per_step,
+            is_resumed=call.facts.last_event_id is not None,
         )
         return should_admit_stream(wish, call.crest)
 
     def _may_leave(self, call: Call) -> bool:
         """Tell whether a stream may leave its upstream, and count that."""
-        others = self._world.directory.usable(call.service, call.tried)
+        others = self._world.directory.ready_upstreams(call.service, call.tried)
         is_last = call.sent + 1 >= call.route.max_attempts
-        if is_last or not others or not call.route.repeatable:
+        if is_last or not others or not call.route.retryable:
             return False
         call.repeat_counted = self._repeats.spend(call.service)
         return call.repeat_counted
 
-    def _may_repeat(self, call: Call, attempt: WholeAnswer | Failure) -> bool:
+    def _may_repeat(
+        self, call: Call, attempt: BufferedResponse | Failure
+    ) -> bool:
         """Tell whether a call is sent once more, and count it."""
-        if isinstance(attempt, WholeAnswer):
+        if isinstance(attempt, BufferedResponse):
             call.sent += 1
             if attempt.status < _FIRST_SERVER_ERROR:
                 return False
@@ -192,7 +194,7 @@
             return self._may_redirect(call, attempt)
         else:
             call.sent += 1
-        if call.may_have_run and not call.route.repeatable:
+        if call.may_have_run and not call.route.retryable:
             return False
         if call.sent >= call.route.max_attempts or not self._has_time(call):
             return False
@@ -213,9 +215,9 @@
     def _given_up(
         self,
         call: Call,
-        failed: WholeAnswer | Failure | None,
-    ) -> WholeAnswer | Refusal:
-        if isinstance(failed, WholeAnswer):
+        failed: BufferedResponse | Failure | None,
+    ) -> BufferedResponse | Refusal:
+        if isinstance(failed, BufferedResponse):
             return failed
         cause = f'no upstream of {call.service} takes work'
         if failed is not None:
@@ -236,8 +238,8 @@
         )
 
 
-def _ran(attempt: WholeAnswer | Failure) -> bool:
-    return isinstance(attempt, WholeAnswer) or attempt.ran
+def _ran(attempt: BufferedResponse | Failure) -> bool:
+    return isinstance(attempt, BufferedResponse) or attempt.ran
 
 
 def _expired(call: Call) -> Refusal:
--- a/src/amaranthrail/direct/loads.py
+++ b/src/amaranthrail/direct/loads.py
@@ -11,10 +11,10 @@
 from ..clock import Clock, sleep
 from ..logs import part_logger
 from ..policy.membership import Member
+from .clusterstate import ClusterState
 from .members import MAX_RECEIVERS, Members
-from .news import Report, decode_report, encode_message
+from .peermessages import LoadReport, decode_report, encode_message
 from .settings import DirectSettings
-from .world import World
 
 #: Time between two reports to other entries, in ms: a tenth of a short stream.
 REPORT_INTERVAL_MS = 100.0
@@ -60,7 +60,7 @@
     def __init__(
         self,
         settings: DirectSettings,
-        world: World,
+        world: ClusterState,
         shared: SharedLoads,
         members: Members,
     ) -> None:
@@ -91,10 +91,10 @@
             had_calls = bool(calls)
             await sleep(REPORT_INTERVAL_MS if busy else IDLE_INTERVAL_MS)
 
-    def _report(self, calls: dict[str, int]) -> Report:
+    def _report(self, calls: dict[str, int]) -> LoadReport:
         own = self._members.own
         alive = self._sample(self._members.alive)
-        return Report(
+        return LoadReport(
             calls,
             alive,
             own.started_at,
--- a/src/amaranthrail/direct/peers.py
+++ b/src/amaranthrail/direct/peers.py
@@ -14,13 +14,14 @@
 )
 from ..clock import move_on_after, sleep
 from ..logs import part_logger
+from .clusterstate import ClusterState, NewerVersion
 from .deployment import UpstreamRecord
 from .members import Members
-from .news import (
-    Ask,
-    Gone,
-    Known,
-    News,
+from .peermessages import (
+    RecordVersion,
+    RemovedUpstream,
+    SyncRequest,
+    SyncResponse,
     decode_ask,
     decode_news,
     encode_message,
@@ -28,7 +29,6 @@
 from .ports import Snapshot, StorePort, StoreRecord, Topic
 from .settings import DirectSettings
 from .sync import StoreContact
-from .world import NewerVersion, World
 
 #: Silence of the store after which other entries are asked, in ms; it may
 #: hold a read for 3,000.
@@ -64,7 +64,7 @@
         self,
         settings: DirectSettings,
         ties: PeerTies,
-        world: World,
+        world: ClusterState,
     ) -> None:
         """Take what lists entries and what is to be told."""
         self._settings = settings
@@ -74,7 +74,7 @@
         self._world = world
         self._random = random.Random()
 
-    def take_settings(self, settings: DirectSettings) -> None:
+    def apply_settings(self, settings: DirectSettings) -> None:
         """Take changed settings."""
         self._settings = settings
 
@@ -106,7 +106,7 @@
 
     async def _follow_list(self) -> None:
         while True:
-            listed = await self._store.newest(Topic.ENTRIES)
+            listed = await self._store.read_snapshot(Topic.ENTRIES)
             if isinstance(listed, Snapshot):
                 self._members.take_listed(
                     record.key for record in listed.records
@@ -160,7 +160,7 @@
             cause = str(error)
         _log.info('peer not asked', peer=host, cause=cause)
 
-    async def _exchange(self, host: str) -> News:
+    async def _exchange(self, host: str) -> SyncResponse:
         port = self._settings.peer_port
         async with await trio.open_tcp_stream(host, port) as stream:
             await send_message(stream, encode_message(self._question()))
@@ -173,23 +173,23 @@
             news = self._news_for(decode_ask(payload))
             await send_message(stream, encode_message(news))
 
-    def _question(self) -> Ask:
+    def _question(self) -> SyncRequest:
         known = {
-            record.name: Known(
+            record.name: RecordVersion(
                 record.started_at,
-                record.beat,
+                record.sequence,
                 record.state.value,
             )
             for record in self._world.directory.records()
         }
-        return Ask(self._world.version, known)
+        return SyncRequest(self._world.version, known)
 
-    def _news_for(self, ask: Ask) -> News:
+    def _news_for(self, ask: SyncRequest) -> SyncResponse:
         deployment = self._world.deployment
         configuration = b''
         if deployment is not None and deployment.version > ask.version:
             configuration = deployment.text
-        return News(
+        return SyncResponse(
             configuration,
             {
                 record.name: record.text
@@ -197,26 +197,26 @@
                 if _is_news(record, ask.upstreams.get(record.name))
             },
             [
-                Gone(name, *age_key)
-                for name, age_key in self._world.directory.gone()
+                RemovedUpstream(name, *order_key)
+                for name, order_key in self._world.directory.gone()
                 if name in ask.upstreams
             ],
         )
 
-    def _take(self, news: News, host: str) -> None:
+    def _take(self, news: SyncResponse, host: str) -> None:
         if news.configuration:
             self._world.take_deployment(news.configuration, host)
         for name, payload in news.upstreams.items():
             self._world.take_upstream(StoreRecord(name, payload), host)
         for gone in news.gone:
-            age_key = (gone.started_at, gone.beat)
-            self._world.directory.remove_until(gone.name, age_key, host)
+            order_key = (gone.started_at, gone.sequence)
+            self._world.directory.remove_until(gone.name, order_key, host)
 
 
-def _is_news(record: UpstreamRecord, known: Known | None) -> bool:
+def _is_news(record: UpstreamRecord, known: RecordVersion | None) -> bool:
     if known is None:
         return True
-    if record.age_key <= (known.started_at, known.beat):
+    if record.order_key <= (known.started_at, known.sequence):
         return False
     restarted = record.started_at != known.started_at
     return restarted or record.state.value != known.state
--- a/src/amaranthrail/direct/ports.py
+++ b/src/amaranthrail/direct/ports.py
@@ -55,10 +55,10 @@
 class StorePort(Protocol):
     """Read and write the keyed topics of the platform's store."""
 
-    async def newest(self, topic: Topic) -> Snapshot | StoreFailure:
+    async def read_snapshot(self, topic: Topic) -> Snapshot | StoreFailure:
         """Return the newest record of each key."""
 
-    async def read(
+    async def read_changes(
         self,
         topic: Topic,
         offset: int,
@@ -78,17 +78,17 @@
         """
 
 
-class CallFacts(msgspec.Struct, frozen=True):
+class RequestMetadata(msgspec.Struct, frozen=True):
     """Hold what the headers of a caller's request say.
 
     ``expected_tokens`` is the caller's estimate of the answer's length, often
     far off, and 0 where there is none.
     """
 
-    attempt: str
+    attempt_id: str
     credential: str | None
-    patience_ms: Millis | None
-    last_event: str | None
+    timeout_ms: Millis | None
+    last_event_id: str | None
     expected_tokens: int = 0
 
 
@@ -100,32 +100,32 @@
     slots: int
 
 
-class AnswerFacts(msgspec.Struct, frozen=True):
+class ResponseMetadata(msgspec.Struct, frozen=True):
     """Hold what the headers of an upstream's answer say.
 
-    ``refused_unrun`` is the proof that the call has not run, ``replaced`` says
+    ``not_executed`` is the proof that the call has not run, ``replaced`` says
     that another upstream has the address by now.
     """
 
-    attempt: str | None
+    attempt_id: str | None
     signed: bool
-    refused_unrun: bool
+    not_executed: bool
     replaced: bool
     encoded: bool
     load: ReportedLoad | None
 
 
-class Handover(msgspec.Struct, frozen=True):
+class ForwardingFields(msgspec.Struct, frozen=True):
     """Hold what an entry adds to a request that it passes on."""
 
     upstream: str
-    left_ms: Millis
+    remaining_ms: Millis
     organisation: OrganisationName | None
-    last_event: str | None
+    last_event_id: str | None
     priority: int
 
 
-class Dialect(msgspec.Struct, frozen=True):
+class WireFormat(msgspec.Struct, frozen=True):
     """Bundle what translates the platform's formats.
 
     ``configuration_key`` is the key of the configuration in its topic. What
@@ -133,10 +133,10 @@
     """
 
     configuration_key: str
-    read_call: Callable[[HttpRequest], CallFacts]
-    request_headers: Callable[[HttpRequest, Handover], HeaderList]
-    read_answer: Callable[[int, HeaderList], AnswerFacts]
-    answer_headers: Callable[[HeaderList], HeaderList]
+    read_request: Callable[[HttpRequest], RequestMetadata]
+    request_headers: Callable[[HttpRequest, ForwardingFields], HeaderList]
+    read_response: Callable[[int, HeaderList], ResponseMetadata]
+    response_headers: Callable[[HeaderList], HeaderList]
     refusal_headers: Callable[[Refusal], HeaderList]
     read_deployment: Callable[[bytes], Deployment | str]
     read_upstream: Callable[[str, bytes], UpstreamRecord | str]
--- a/src/amaranthrail/direct/relay.py
+++ b/src/amaranthrail/direct/relay.py
@@ -10,8 +10,8 @@
 from ..clock import Clock
 from ..exceptions import HttpError
 from ..types import HeaderList
-from .call import Failure, StreamPace
-from .pace import ServicePace
+from .call import Failure, StreamTiming
+from .steptimes import StepTimes
 from .streams import EventSplitter
 
 #: Makes what bounds one wait for an upstream; it swallows the end of a wait.
@@ -29,8 +29,8 @@
         self,
         reply: Reply,
         last_id: str | None,
-        pace: StreamPace,
-        engines: ServicePace,
+        pace: StreamTiming,
+        engines: StepTimes,
         patience: Patience,
     ) -> None:
         """Take where the stream goes and the id that it begins after.
@@ -46,7 +46,7 @@
         self._clock = Clock()
 
     @property
-    def pace(self) -> StreamPace:
+    def pace(self) -> StreamTiming:
         """Return when events came."""
         return self._pace
 
--- a/src/amaranthrail/direct/repeats.py
+++ b/src/amaranthrail/direct/retrybudgets.py
@@ -7,15 +7,15 @@
 from ..clock import Clock
 from ..policy.windowbudget import WindowRetryBudget
 from ..types import ServiceName
-from .settings import RepeatBounds
+from .settings import RetryBudgetLimits
 
 
-class Repeats:
+class RetryBudgets:
     """Count calls and repeats by service."""
 
     def __init__(
         self,
-        bounds: RepeatBounds,
+        bounds: RetryBudgetLimits,
         clock: Clock,
         entries: Callable[[], int],
     ) -> None:
@@ -25,7 +25,7 @@
         self._entries = entries
         self._budgets: dict[ServiceName, WindowRetryBudget] = {}
 
-    def take_bounds(self, bounds: RepeatBounds) -> None:
+    def take_bounds(self, bounds: RetryBudgetLimits) -> None:
         """Put changed bounds in force; counts begin anew with them."""
         if bounds != self._bounds:
             self._bounds = bounds
--- a/src/amaranthrail/direct/service.py
+++ b/src/amaranthrail/direct/service.py
@@ -23,24 +23,24 @@
 from ..ranks.keeper import MakeRank, MapKeeper
 from .attempt import Attempts
 from .callers import Callers
-from .departure import Departure
+from .calllog import CallLog
+from .clusterstate import ClusterState
 from .deployment import CallerLimits
 from .forward import Forwarder, ForwarderSettings
-from .journal import Journal
 from .loads import ReportExchange, SharedLoads
 from .members import Members
 from .peers import Peers, PeerTies
-from .ports import Dialect, StorePort, Topic
-from .repeats import Repeats
+from .ports import StorePort, Topic, WireFormat
+from .retrybudgets import RetryBudgets
 from .settings import DirectSettings
-from .silence import SilenceWatch
+from .shutdown import GracefulShutdown
+from .stalls import StallDetector
 from .sync import (
     StoreContact,
     TopicFollower,
     UpstreamSync,
     follow_configuration,
 )
-from .world import World
 
 #: Time from the signal to stop until idle connections close, in ms: the
 #: balancer sends new ones until it has missed two probes, a second apart.
@@ -57,7 +57,7 @@
         self,
         settings: DirectSettings,
         store: StorePort,
-        dialect: Dialect,
+        dialect: WireFormat,
         make_rank: MakeRank,
     ) -> None:
         """Take the settings and what speaks the platform's language."""
@@ -65,7 +65,7 @@
         self._dialect = dialect
         self._clock = Clock()
         self._metrics = Metrics()
-        self._world = World(self._clock, dialect)
+        self._world = ClusterState(self._clock, dialect)
         self._contact = StoreContact(self._clock)
         self._members = Members(settings.host, self._clock)
         self._members.take_seeds(settings.seeds)
@@ -84,13 +84,13 @@
             self._world,
             self._contact,
         )
-        self._repeats = Repeats(
-            settings.repeats,
+        self._repeats = RetryBudgets(
+            settings.retry_limits,
             self._clock,
             lambda: self._members.count,
         )
         self._loads = SharedLoads(self._clock)
-        self._watch = SilenceWatch(self._clock)
+        self._watch = StallDetector(self._clock)
         self._exchange = ReportExchange(
             settings,
             self._world,
@@ -104,7 +104,7 @@
             self._clock,
         )
         self._state = ServerState(self._limits)
-        self._departure = Departure(self._contact, self._members)
+        self._departure = GracefulShutdown(self._contact, self._members)
         self._stopping = trio.Event()
 
     @property
@@ -113,12 +113,12 @@
         return self._settings
 
     @property
-    def world(self) -> World:
+    def cluster_state(self) -> ClusterState:
         """Return what the entry knows."""
         return self._world
 
     @property
-    def leading(self) -> bool:
+    def is_leader(self) -> bool:
         """Tell whether this entry leads the expert maps."""
         return self._members.check_lead()
 
@@ -136,14 +136,14 @@
         """Begin to leave."""
         self._stopping.set()
 
-    def take_settings(self, settings: DirectSettings) -> None:
+    def apply_settings(self, settings: DirectSettings) -> None:
         """Put changed settings in force; addresses wait for the next start."""
         if settings == self._settings:
             return
         self._settings = settings
         self._members.take_seeds(settings.seeds)
-        self._peers.take_settings(settings)
-        self._repeats.take_bounds(settings.repeats)
+        self._peers.apply_settings(settings)
+        self._repeats.take_bounds(settings.retry_limits)
         _log.info('settings reloaded', entry=settings.name)
 
     async def run(self) -> None:
@@ -181,7 +181,7 @@
         self,
         listeners: list[trio.SocketListener],
     ) -> None:
-        journal = Journal(self._clock, self._metrics)
+        journal = CallLog(self._clock, self._metrics)
         forwarder = Forwarder(
             self._world,
             Attempts(
--- a/src/amaranthrail/direct/sync.py
+++ b/src/amaranthrail/direct/sync.py
@@ -4,6 +4,7 @@
 
 from ..clock import Clock, sleep
 from ..logs import part_logger
+from .clusterstate import ClusterState
 from .ports import (
     Changes,
     Snapshot,
@@ -12,7 +13,6 @@
     StoreRecord,
     Topic,
 )
-from .world import World
 
 #: Time that the store is asked to hold a read, in ms. A connection that went
 #: silent is noticed this long and a call's bound later, and news must be in
@@ -114,7 +114,9 @@
     ) -> Snapshot | Changes | StoreFailure:
         if self._offset is None:
             return await self._read_whole()
-        changes = await self._store.read(self._topic, self._offset, wait_ms)
+        changes = await self._store.read_changes(
+            self._topic, self._offset, wait_ms
+        )
         self._contact.note(changes)
         if isinstance(changes, Changes):
             self._offset = changes.end
@@ -125,7 +127,7 @@
         return changes
 
     async def _read_whole(self) -> Snapshot | StoreFailure:
-        snapshot = await self._store.newest(self._topic)
+        snapshot = await self._store.read_snapshot(self._topic)
         self._contact.note(snapshot)
         if not isinstance(snapshot, Snapshot):
             return snapshot
@@ -144,7 +146,9 @@
         return snapshot
 
 
-async def follow_configuration(follower: TopicFollower, world: World) -> None:
+async def follow_configuration(
+    follower: TopicFollower, world: ClusterState
+) -> None:
     """Put each newer configuration in force, for good."""
     while True:
         news = await follower.next(READ_WAIT_MS)
@@ -161,7 +165,7 @@
     def __init__(
         self,
         follower: TopicFollower,
-        world: World,
+        world: ClusterState,
         contact: StoreContact,
     ) -> None:
         """Take the follower of the list and where its news goes."""
--- a/src/amaranthrail/platform/headers.py
+++ b/src/amaranthrail/platform/headers.py
@@ -4,7 +4,12 @@
 
 from ..adapters.httpserver import HttpRequest
 from ..clock import MS_PER_SECOND
-from ..direct.ports import AnswerFacts, CallFacts, Handover, ReportedLoad
+from ..direct.ports import (
+    ForwardingFields,
+    ReportedLoad,
+    RequestMetadata,
+    ResponseMetadata,
+)
 from ..outcomes import Refusal
 from ..types import HeaderList, Millis
 
@@ -48,40 +53,42 @@
 _NOT_PASSED_ON = _HOP_BY_HOP | _OURS
 
 
-def read_call(request: HttpRequest) -> CallFacts:
+def read_call(request: HttpRequest) -> RequestMetadata:
     """Return what a caller's header fields say."""
-    return CallFacts(
-        attempt=request.header(_ATTEMPT) or '',
+    return RequestMetadata(
+        attempt_id=request.header(_ATTEMPT) or '',
         credential=_read_credential(request.header('authorization')),
-        patience_ms=_read_millis(request.header(_REMAINING)),
-        last_event=request.header(_LAST_EVENT),
+        timeout_ms=_read_millis(request.header(_REMAINING)),
+        last_event_id=request.header(_LAST_EVENT),
         expected_tokens=_read_count(request.header('length-hint') or ''),
     )
 
 
-def request_headers(request: HttpRequest, handover: Handover) -> HeaderList:
+def request_headers(
+    request: HttpRequest, handover: ForwardingFields
+) -> HeaderList:
     """Return the fields with which a request is passed on."""
     dropped = _NOT_PASSED_ON | _named_by_connection(request)
     passed = [field for field in request.headers if field[0] not in dropped]
     added = [
-        (_REMAINING, str(max(1, int(handover.left_ms)))),
+        (_REMAINING, str(max(1, int(handover.remaining_ms)))),
         (_EXPECT, handover.upstream),
         (_PRIORITY, str(handover.priority)),
     ]
     if handover.organisation is not None:
         added.append((_ORGANISATION, handover.organisation))
-    if handover.last_event is not None:
-        added.append((_LAST_EVENT, handover.last_event))
+    if handover.last_event_id is not None:
+        added.append((_LAST_EVENT, handover.last_event_id))
     return (*passed, *added)
 
 
-def read_answer(status: int, headers: HeaderList) -> AnswerFacts:
+def read_answer(status: int, headers: HeaderList) -> ResponseMetadata:
     """Return what the header fields of an upstream's answer say."""
     known = dict(headers)
-    return AnswerFacts(
-        attempt=known.get(_ATTEMPT),
+    return ResponseMetadata(
+        attempt_id=known.get(_ATTEMPT),
         signed='replica-signature' in known,
-        refused_unrun='not-executed' in known or status == _MISDIRECTED,
+        not_executed='not-executed' in known or status == _MISDIRECTED,
         replaced=status == _MISDIRECTED,
         encoded='content-encoding' in known,
         load=_read_load(known.get('replica-load')),
--- a/src/amaranthrail/platform/program.py
+++ b/src/amaranthrail/platform/program.py
@@ -11,7 +11,7 @@
 import trio
 
 from ..clock import sleep
-from ..direct.ports import Dialect
+from ..direct.ports import WireFormat
 from ..direct.service import DirectEntry
 from ..exceptions import SettingError
 from ..logs import (
@@ -30,12 +30,12 @@
 #: Time between two looks at the settings file, in ms.
 SETTINGS_INTERVAL_MS = 1000.0
 _log = part_logger('settings')
-DIALECT = Dialect(
+DIALECT = WireFormat(
     configuration_key='config',
-    read_call=headers.read_call,
+    read_request=headers.read_call,
     request_headers=headers.request_headers,
-    read_answer=headers.read_answer,
-    answer_headers=headers.answer_headers,
+    read_response=headers.read_answer,
+    response_headers=headers.answer_headers,
     refusal_headers=headers.refusal_headers,
     read_deployment=records.read_deployment,
     read_upstream=records.read_upstream,
@@ -110,4 +110,4 @@
     except SettingError as error:
         _log.error('settings not reloaded', cause=str(error))
         return
-    entry.take_settings(settings)
+    entry.apply_settings(settings)
--- a/src/amaranthrail/platform/store.py
+++ b/src/amaranthrail/platform/store.py
@@ -60,7 +60,7 @@
         """Take the store's address."""
         self._client = HttpClient(address)
 
-    async def newest(self, topic: Topic) -> Snapshot | StoreFailure:
+    async def read_snapshot(self, topic: Topic) -> Snapshot | StoreFailure:
         """Return the newest record of each key; see StorePort."""
         records: list[StoreRecord] = []
         first = f'/amaranthrail/log-newest?topic={_TOPIC_NAMES[topic]}&part=0'
@@ -78,7 +78,7 @@
                 return Snapshot(tuple(records), page.end_offset)
             target = f'{first}&after={page.records[-1].key}'
 
-    async def read(
+    async def read_changes(
         self,
         topic: Topic,
         offset: int,
--- a/src/amaranthrail/ranks/keeper.py
+++ b/src/amaranthrail/ranks/keeper.py
@@ -8,9 +8,9 @@
 
 from ..adapters.httpclient import Address
 from ..clock import Clock, sleep
+from ..direct.clusterstate import ClusterState
 from ..direct.deployment import Deployment, ExpertLayout, Service
 from ..direct.upstreams import Upstream
-from ..direct.world import World
 from ..logs import part_logger
 from ..policy.rebalancing import can_follow
 from ..types import ServiceName
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        world: World,
+        world: ClusterState,
         leads: Callable[[], bool],
         make_rank: MakeRank,
         clock: Clock,
@@ -88,7 +88,7 @@
         return leader
 
     async def _look(self, service: ServiceName, leader: Leader) -> None:
-        upstreams = self._world.directory.usable(service, frozenset())
+        upstreams = self._world.directory.ready_upstreams(service, frozenset())
         if not self._leads():
             if self._is_stalled(upstreams):
                 await self._meet(service, leader, upstreams)
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -9,7 +9,7 @@
 import pytest
 
 from amaranthrail.direct.deployment import CallKind, Deployment, UpstreamState
-from amaranthrail.direct.ports import Handover
+from amaranthrail.direct.ports import ForwardingFields
 from amaranthrail.exceptions import SettingError
 from amaranthrail.outcomes import Reason, not_run
 from amaranthrail.platform import headers, records, store
@@ -68,7 +68,7 @@
     assert (read.credentials or {})['k2'].name == 'band'
     found = read.find_route('H.example', '/stream/x')
     assert found is not None
-    assert (found.kind, found.repeatable) == (CallKind.STREAMING, True)
+    assert (found.kind, found.retryable) == (CallKind.STREAMING, True)
 
 
 @pytest.mark.parametrize(
@@ -116,7 +116,7 @@
     assert not isinstance(read, str)
     assert (read.host, read.port) == ('10.0.0.1', 80)
     assert read.state is UpstreamState.READY
-    assert read.age_key == (1000, 1)
+    assert read.order_key == (1000, 1)
 
 
 @pytest.mark.parametrize(
@@ -183,8 +183,10 @@
         ),
     )
     assert headers.read_call(asked).credential == 'k1'
-    assert headers.read_call(asked).patience_ms == Millis(900)
-    handover = Handover('i-1', Millis(850.7), OrganisationName('band'), '4', 1)
+    assert headers.read_call(asked).timeout_ms == Millis(900)
+    handover = ForwardingFields(
+        'i-1', Millis(850.7), OrganisationName('band'), '4', 1
+    )
     sent = dict(headers.request_headers(asked, handover))
     assert sent == {
         'host': 'h.example',
@@ -215,7 +217,7 @@
     replaced: bool,
 ) -> None:
     facts = headers.read_answer(status, fields)
-    assert facts.refused_unrun is unrun
+    assert facts.not_executed is unrun
     assert facts.replaced is replaced
 
 
--- a/tests/test_shared_loads.py
+++ b/tests/test_shared_loads.py
@@ -11,7 +11,11 @@
 from amaranthrail.clock import Clock
 from amaranthrail.direct.deployment import UpstreamRecord, UpstreamState
 from amaranthrail.direct.loads import REPORT_LIFE_MS, SharedLoads
-from amaranthrail.direct.news import Report, decode_report, encode_message
+from amaranthrail.direct.peermessages import (
+    LoadReport,
+    decode_report,
+    encode_message,
+)
 from amaranthrail.direct.ports import ReportedLoad
 from amaranthrail.direct.upstreams import Upstream
 from amaranthrail.policy.selection import UpstreamView, select_upstream
@@ -50,7 +54,7 @@
 
 
 def test_a_report_is_read_as_it_was_written() -> None:
-    report = Report({'e1': 3}, ['10.0.0.3'], 1000, 2000)
+    report = LoadReport({'e1': 3}, ['10.0.0.3'], 1000, 2000)
     assert decode_report(encode_message(report)) == report
     with pytest.raises(msgspec.DecodeError):
         decode_report(b'\xff')
@@ -86,7 +90,7 @@
         SLOTS,
         UpstreamState.READY,
         started_at=1,
-        beat=1,
+        sequence=1,
     )
     upstream = Upstream(record, Clock(time))
     upstream.note_load(ReportedLoad(running=5, waiting=2, slots=SLOTS))
