--- a/src/amaranthrail/entry/peers.py
+++ b/src/amaranthrail/entry/peers.py
@@ -19,6 +19,7 @@
     greet,
 )
 from ..clock import move_on_after, sleep
+from ..configsync import exchange_frames, plain_heartbeat, take_shared
 from ..exceptions import FrameError
 from ..frames import (
     Ack,
@@ -44,7 +45,6 @@
 from ..ports import HostRecord, HostState
 from ..runtime import Runtime
 from ..settings import EntrySettings
-from ..spread import exchange_frames, plain_heartbeat, take_shared
 from ..timeline import Event
 from ..types import Incarnation, RequestId
 from .exchange import Exchange
--- a/src/amaranthrail/sidecar/peers.py
+++ b/src/amaranthrail/sidecar/peers.py
@@ -9,6 +9,7 @@
 
 from ..adapters.link import HANDSHAKE_TIMEOUT_S, Link, LinkClosedError, admit
 from ..clock import sleep
+from ..configsync import take_shared
 from ..exceptions import FrameError
 from ..frames import (
     Ack,
@@ -33,7 +34,6 @@
 from ..outcomes import Reason, Refusal
 from ..runtime import Runtime
 from ..settings import SidecarSettings
-from ..spread import take_shared
 from ..timeline import encode_events
 from ..types import RequestId
 from .gate import Gate
--- a/src/amaranthrail/sidecar/ranklink.py
+++ b/src/amaranthrail/sidecar/ranklink.py
@@ -13,12 +13,12 @@
 from ..adapters.httpclient import Address
 from ..adapters.link import HANDSHAKE_TIMEOUT_S, Link, LinkClosedError, greet
 from ..clock import move_on_after, sleep
+from ..configsync import exchange_frames, take_shared
 from ..exceptions import FrameError
 from ..frames import AnyFrame, GroupOrder, GroupReply, Hello
 from ..orders import AnyOrder, AnyReply, decode_reply, encode_order
 from ..runtime import Runtime
 from ..settings import SidecarSettings
-from ..spread import exchange_frames, take_shared
 
 ORDER_TIMEOUT_MS = 1500.0
 _RECONNECT_MS = 200.0
