--- a/src/amaranthrail/runtime.py
+++ b/src/amaranthrail/runtime.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field
 
 from .clock import Clock
+from .configpulls import Pulls
 from .configuration import Configuration
 from .metrics import Metrics
-from .pulls import Pulls
 from .timeline import Timeline
 from .types import DomainName, Incarnation, ProcessName
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -13,8 +13,8 @@
 )
 
 from amaranthrail.clock import Clock
+from amaranthrail.configpulls import ASK_AGAIN_MS, Pulls
 from amaranthrail.configuration import Configuration
-from amaranthrail.pulls import ASK_AGAIN_MS, Pulls
 from amaranthrail.records import CONTROL_STREAM, Drain, encode_record
 
 from . import build
