--- a/src/amaranthrail/configpulls.py
+++ b/src/amaranthrail/configpulls.py
@@ -9,7 +9,7 @@
 ASK_AGAIN_MS = 500.0
 
 
-class Pulls:
+class PullLimiter:
     """Remember what has been asked for last."""
 
     def __init__(self, clock: Clock, configuration: Configuration) -> None:
--- a/src/amaranthrail/runtime.py
+++ b/src/amaranthrail/runtime.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from .clock import Clock
-from .configpulls import Pulls
+from .configpulls import PullLimiter
 from .configuration import Configuration
 from .metrics import Metrics
 from .timeline import Timeline
@@ -31,11 +31,11 @@
     configuration: Configuration = field(default_factory=Configuration)
     incarnation: Incarnation = field(default_factory=new_incarnation)
     timeline: Timeline = field(init=False)
-    pulls: Pulls = field(init=False)
+    pulls: PullLimiter = field(init=False)
 
     def __post_init__(self) -> None:
         """Make the parts that need the others."""
         timeline = Timeline(self.clock, self.process, self.incarnation)
         object.__setattr__(self, 'timeline', timeline)
-        pulls = Pulls(self.clock, self.configuration)
+        pulls = PullLimiter(self.clock, self.configuration)
         object.__setattr__(self, 'pulls', pulls)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -13,7 +13,7 @@
 )
 
 from amaranthrail.clock import Clock
-from amaranthrail.configpulls import ASK_AGAIN_MS, Pulls
+from amaranthrail.configpulls import ASK_AGAIN_MS, PullLimiter
 from amaranthrail.configuration import Configuration
 from amaranthrail.records import CONTROL_STREAM, Drain, encode_record
 
@@ -108,7 +108,7 @@
 def test_one_peer_is_asked_for_a_change() -> None:
     now_s = [10.0]
     clock = Clock(lambda: now_s[0], lambda: now_s[0])
-    pulls = Pulls(clock, Configuration())
+    pulls = PullLimiter(clock, Configuration())
     assert pulls.wants(3, 0)
     assert not any(pulls.wants(3, 0) for _ in range(4))
     assert pulls.wants(4, 0)
