--- a/src/amaranthrail/configpulls.py
+++ b/src/amaranthrail/configpulls.py
@@ -19,7 +19,7 @@
         self._asked = (0, 0)
         self._asked_at = clock.now()
 
-    def wants(self, version: int, drains_version: int) -> bool:
+    def should_pull(self, version: int, drains_version: int) -> bool:
         """Tell whether to ask a peer that has these versions, and note it."""
         ahead = version > self._configuration.version
         if not ahead and drains_version <= self._configuration.drains_version:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -109,12 +109,12 @@
     now_s = [10.0]
     clock = Clock(lambda: now_s[0], lambda: now_s[0])
     pulls = PullLimiter(clock, Configuration())
-    assert pulls.wants(3, 0)
-    assert not any(pulls.wants(3, 0) for _ in range(4))
-    assert pulls.wants(4, 0)
+    assert pulls.should_pull(3, 0)
+    assert not any(pulls.should_pull(3, 0) for _ in range(4))
+    assert pulls.should_pull(4, 0)
     now_s[0] += (ASK_AGAIN_MS + 1) / 1000
-    assert pulls.wants(4, 0)
-    assert not pulls.wants(0, 0)
+    assert pulls.should_pull(4, 0)
+    assert not pulls.should_pull(0, 0)
 
 
 class OneManifest(RuleBasedStateMachine):
