--- a/src/amaranthrail/configpulls.py
+++ b/src/amaranthrail/configpulls.py
@@ -6,7 +6,7 @@
 from .configuration import Configuration
 
 #: After this long without the configuration, another peer is asked.
-ASK_AGAIN_MS = 500.0
+PULL_RETRY_MS = 500.0
 
 
 class PullLimiter:
@@ -26,7 +26,7 @@
             return False
         now = self._clock.now()
         asked = (version, drains_version)
-        recently = now - self._asked_at < ASK_AGAIN_MS
+        recently = now - self._asked_at < PULL_RETRY_MS
         if recently and asked <= self._asked:
             return False
         self._asked = asked
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -13,7 +13,7 @@
 )
 
 from amaranthrail.clock import Clock
-from amaranthrail.configpulls import ASK_AGAIN_MS, PullLimiter
+from amaranthrail.configpulls import PULL_RETRY_MS, PullLimiter
 from amaranthrail.configuration import Configuration
 from amaranthrail.records import CONTROL_STREAM, Drain, encode_record
 
@@ -112,7 +112,7 @@
     assert pulls.should_pull(3, 0)
     assert not any(pulls.should_pull(3, 0) for _ in range(4))
     assert pulls.should_pull(4, 0)
-    now_s[0] += (ASK_AGAIN_MS + 1) / 1000
+    now_s[0] += (PULL_RETRY_MS + 1) / 1000
     assert pulls.should_pull(4, 0)
     assert not pulls.should_pull(0, 0)
 
