--- a/src/amaranthrail/cli.py
+++ b/src/amaranthrail/cli.py
@@ -20,7 +20,7 @@
 from .clock import MS_PER_SECOND, stamp_to_wall
 from .exceptions import ManifestError
 from .manifest import Manifest, parse_manifest
-from .stories import LogLine, read_lines, tell_story
+from .requestlog import LogLine, read_lines, tell_story
 
 EXIT_FAILED = 1
 EXIT_USAGE = 2
--- a/tests/test_stories.py
+++ b/tests/test_requestlog.py
@@ -4,7 +4,7 @@
 
 import json
 
-from amaranthrail.stories import read_lines, tell_story
+from amaranthrail.requestlog import read_lines, tell_story
 
 
 def line(event: str, process: str, second: int, **fields: str) -> str:
