--- a/src/amaranthrail/cli.py
+++ b/src/amaranthrail/cli.py
@@ -20,7 +20,7 @@
 from .clock import MS_PER_SECOND, stamp_to_wall
 from .exceptions import ManifestError
 from .manifest import Manifest, parse_manifest
-from .requestlog import LogLine, read_lines, tell_story
+from .requestlog import LogLine, explain_request, read_lines
 
 EXIT_FAILED = 1
 EXIT_USAGE = 2
@@ -367,7 +367,7 @@
     for path in logs:
         text = path.read_text(errors='replace')
         lines.extend(read_lines(text.splitlines()))
-    story = tell_story(request, lines)
+    story = explain_request(request, lines)
     if not story:
         _fail(f'request {request!r} stands in none of the logs', EXIT_USAGE)
     for line in story:
--- a/src/amaranthrail/requestlog.py
+++ b/src/amaranthrail/requestlog.py
@@ -63,7 +63,7 @@
         yield LogLine(line.timestamp, line.process, line.event, fields)
 
 
-def tell_story(request: str, lines: Iterable[LogLine]) -> list[LogLine]:
+def explain_request(request: str, lines: Iterable[LogLine]) -> list[LogLine]:
     """Return a request's lines and what its processes learnt before them."""
     known = sorted(lines, key=_time_of)
     own = [line for line in known if line.fields.get('request') == request]
