--- a/src/amaranthrail/cli.py
+++ b/src/amaranthrail/cli.py
@@ -20,7 +20,7 @@
 from .clock import MS_PER_SECOND, stamp_to_wall
 from .exceptions import ManifestError
 from .manifest import Manifest, parse_manifest
-from .requestlog import LogLine, explain_request, read_lines
+from .requestlog import LogLine, explain_request, parse_log_lines
 
 EXIT_FAILED = 1
 EXIT_USAGE = 2
@@ -366,7 +366,7 @@
     lines: list[LogLine] = []
     for path in logs:
         text = path.read_text(errors='replace')
-        lines.extend(read_lines(text.splitlines()))
+        lines.extend(parse_log_lines(text.splitlines()))
     story = explain_request(request, lines)
     if not story:
         _fail(f'request {request!r} stands in none of the logs', EXIT_USAGE)
--- a/src/amaranthrail/requestlog.py
+++ b/src/amaranthrail/requestlog.py
@@ -45,7 +45,7 @@
         return f'{moment} {self.process} {self.event} {rest}'
 
 
-def read_lines(text: Iterable[str]) -> Iterator[LogLine]:
+def parse_log_lines(text: Iterable[str]) -> Iterator[LogLine]:
     """Yield the structured lines among others.
 
     A line may have other text before its JSON object.
--- a/tests/test_requestlog.py
+++ b/tests/test_requestlog.py
@@ -4,7 +4,7 @@
 
 import json
 
-from amaranthrail.requestlog import explain_request, read_lines
+from amaranthrail.requestlog import explain_request, parse_log_lines
 
 
 def line(event: str, process: str, second: int, **fields: str) -> str:
@@ -26,7 +26,7 @@
 
 
 def test_a_story_has_the_request_and_what_was_believed() -> None:
-    story = explain_request('r1', read_lines(LINES))
+    story = explain_request('r1', parse_log_lines(LINES))
     assert [(line.process, line.event) for line in story] == [
         ('e1', 'world: in force'),
         ('e1', 'call: sent again'),
@@ -36,4 +36,4 @@
 
 
 def test_an_unknown_request_has_no_story() -> None:
-    assert not explain_request('r9', read_lines(LINES))
+    assert not explain_request('r9', parse_log_lines(LINES))
