--- a/src/amaranthrail/entry/administration.py
+++ b/src/amaranthrail/entry/administration.py
@@ -22,7 +22,7 @@
 from ..publish import new_change, publish_drain, publish_manifest
 from ..records import Drain, FilingState, new_record_id
 from ..timeline import Event, merge_events
-from ..types import FilingKey
+from ..types import IdempotencyKey
 from .core import EntryCore
 from .filings import Filings
 from .ledger import Filing
@@ -180,7 +180,7 @@
             await send_json(reply, _BAD_REQUEST, {'title': usage})
             return
         quoted = request.path[len(_LOST_PREFIX) : -len(_RESOLVE_SUFFIX)]
-        key = FilingKey(unquote(quoted))
+        key = IdempotencyKey(unquote(quoted))
         filing = self._core.shards.ledger.find(key)
         if filing is None or filing.state is not FilingState.LOST:
             missing = f'key {key!r} is not on the lost list'
--- a/src/amaranthrail/entry/call.py
+++ b/src/amaranthrail/entry/call.py
@@ -11,8 +11,8 @@
 from ..policy.sizes import Size
 from ..types import (
     KEY_HEADER,
-    FilingKey,
     HeaderList,
+    IdempotencyKey,
     RequestId,
     qualified_key,
 )
@@ -52,7 +52,7 @@
     label: str
 
     @property
-    def key(self) -> FilingKey | None:
+    def key(self) -> IdempotencyKey | None:
         """Return the idempotency key, qualified by its organisation."""
         given = self.request.header(KEY_HEADER)
         if not given:
--- a/src/amaranthrail/entry/conclusions.py
+++ b/src/amaranthrail/entry/conclusions.py
@@ -6,7 +6,7 @@
 from ..outcomes import Outcome, Reason, Refusal, not_run, unknown
 from ..records import Conclusion, FilingState, Intent
 from ..runtime import Runtime
-from ..types import FilingKey
+from ..types import IdempotencyKey
 from .ledger import Filing
 from .shards import Shards
 
@@ -97,6 +97,6 @@
     return unknown(Reason.KEY_LOST, 'an operator must resolve this key')
 
 
-def key_reused(key: FilingKey) -> Refusal:
+def key_reused(key: IdempotencyKey) -> Refusal:
     """Return the refusal of a key that came with another request before."""
     return not_run(Reason.KEY_REUSED, f'key {key} came with another request')
--- a/src/amaranthrail/entry/filings.py
+++ b/src/amaranthrail/entry/filings.py
@@ -12,7 +12,7 @@
 from ..clock import MS_PER_SECOND, move_on_after, sleep
 from ..outcomes import Outcome, Reason, Refusal, not_run, unknown
 from ..records import FilingState, Intent, Resolution
-from ..types import FilingKey
+from ..types import IdempotencyKey
 from .call import Call, Target, make_dispatch
 from .conclusions import Answer, Conclusions, key_reused, recorded_answer
 from .core import EntryCore
@@ -61,7 +61,7 @@
             self._conclusions,
             self._inquiries,
         )
-        self._jobs: dict[FilingKey, _Job] = {}
+        self._jobs: dict[IdempotencyKey, _Job] = {}
 
     @property
     def in_progress(self) -> int:
@@ -95,7 +95,7 @@
             await sleep(_SWEEP_MS)
             self._core.shards.forget_expired()
             for filing in self._ledger.open():
-                key = FilingKey(filing.intent.key)
+                key = IdempotencyKey(filing.intent.key)
                 overdue = self._settlement.is_overdue(filing)
                 if overdue and key not in self._jobs:
                     unsure = unknown(Reason.STILL_RUNNING)
@@ -105,7 +105,7 @@
 
     async def resolve(
         self,
-        key: FilingKey,
+        key: IdempotencyKey,
         state: FilingState,
         author: str,
         timeout_ms: float,
@@ -127,7 +127,7 @@
                 await self._ledger.wait_changed()
         return self._state_of(key) is state
 
-    def _join(self, key: FilingKey, call: Call, digest: str) -> _Job:
+    def _join(self, key: IdempotencyKey, call: Call, digest: str) -> _Job:
         """Return the work on a key, begun by this call if there is none."""
         job = self._jobs.get(key)
         if job is None:
@@ -139,25 +139,27 @@
             self._nursery.start_soon(self._work, key, call, job)
         return job
 
-    def _state_of(self, key: FilingKey) -> FilingState | None:
+    def _state_of(self, key: IdempotencyKey) -> FilingState | None:
         filing = self._ledger.find(key)
         return None if filing is None else filing.state
 
-    async def _settle_overdue(self, key: FilingKey, job: _Job) -> None:
+    async def _settle_overdue(self, key: IdempotencyKey, job: _Job) -> None:
         filing = self._ledger.find(key)
         if filing is not None and filing.state is FilingState.OPEN:
             job.answer = await self._settlement.settle(filing.intent)
         self._finish(key, job)
 
-    async def _work(self, key: FilingKey, call: Call, job: _Job) -> None:
+    async def _work(self, key: IdempotencyKey, call: Call, job: _Job) -> None:
         job.answer = await self._answer(key, call, job.digest)
         self._finish(key, job)
 
-    def _finish(self, key: FilingKey, job: _Job) -> None:
+    def _finish(self, key: IdempotencyKey, job: _Job) -> None:
         self._jobs.pop(key, None)
         job.done.set()
 
-    async def _answer(self, key: FilingKey, call: Call, digest: str) -> Answer:
+    async def _answer(
+        self, key: IdempotencyKey, call: Call, digest: str
+    ) -> Answer:
         if not await self._caught_up(key, call):
             return await self._unrecorded(call, 'the log cannot be read')
         outcome: Answer = not_run(Reason.NO_CAPACITY)
@@ -171,7 +173,7 @@
             self._runtime.metrics.count('filing_attempts_again')
         return outcome
 
-    async def _caught_up(self, key: FilingKey, call: Call) -> bool:
+    async def _caught_up(self, key: IdempotencyKey, call: Call) -> bool:
         with move_on_after(self._record_wait_ms(call)):
             await self._core.shards.wait_caught_up(key)
             return True
@@ -195,14 +197,14 @@
     async def _attach(self, filing: Filing, digest: str) -> Answer:
         """Return what became of an attempt that was claimed before."""
         if filing.intent.digest != digest:
-            return key_reused(FilingKey(filing.intent.key))
+            return key_reused(IdempotencyKey(filing.intent.key))
         if filing.state is FilingState.OPEN:
             return await self._follow(filing.intent)
         return recorded_answer(filing)
 
     async def _follow(self, intent: Intent) -> Answer:
         """Wait for its owner to conclude an attempt, then ask the sidecar."""
-        key = FilingKey(intent.key)
+        key = IdempotencyKey(intent.key)
         if not await self._settlement.wait_concluded(intent, ATTACH_WAIT_MS):
             return await self._settlement.settle(intent)
         filing = self._ledger.find(key)
@@ -212,7 +214,7 @@
 
     async def _attempt(
         self,
-        key: FilingKey,
+        key: IdempotencyKey,
         call: Call,
         digest: str,
     ) -> Answer:
@@ -235,7 +237,7 @@
 
     def _make_intent(
         self,
-        key: FilingKey,
+        key: IdempotencyKey,
         call: Call,
         digest: str,
         peer: Peer,
@@ -259,7 +261,7 @@
         """Return who holds the key once the intent's place is known."""
         with move_on_after(self._record_wait_ms(call)):
             while True:
-                filing = self._ledger.find(FilingKey(intent.key))
+                filing = self._ledger.find(IdempotencyKey(intent.key))
                 is_newer = filing and filing.intent.attempt >= intent.attempt
                 if filing is not None and is_newer:
                     return filing
--- a/src/amaranthrail/entry/ledger.py
+++ b/src/amaranthrail/entry/ledger.py
@@ -16,7 +16,7 @@
     Resolution,
     decode_record,
 )
-from ..types import FilingKey
+from ..types import IdempotencyKey
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,8 +45,8 @@
 
     def __init__(self) -> None:
         """Start with no key known."""
-        self._filings: dict[FilingKey, Filing] = {}
-        self._pending: dict[FilingKey, Filing] = {}
+        self._filings: dict[IdempotencyKey, Filing] = {}
+        self._pending: dict[IdempotencyKey, Filing] = {}
         self._kept_from: dict[int, int] = {}
         self._skipped = 0
         self._contradictions = 0
@@ -67,7 +67,7 @@
         """Return how many keys are known."""
         return len(self._filings)
 
-    def find(self, key: FilingKey) -> Filing | None:
+    def find(self, key: IdempotencyKey) -> Filing | None:
         """Return where a key stands, None for one never seen."""
         return self._filings.get(key)
 
@@ -113,7 +113,7 @@
         return [one for one in self._pending.values() if one.state is state]
 
     def _apply_fact(self, shard: int, entry: LogEntry, fact: AnyFact) -> None:
-        key = FilingKey(fact.key)
+        key = IdempotencyKey(fact.key)
         known = self._filings.get(key)
         match fact:
             case Intent():
@@ -125,7 +125,7 @@
         if fresh is not None:
             self._keep(key, fresh)
 
-    def _keep(self, key: FilingKey, fresh: Filing) -> None:
+    def _keep(self, key: IdempotencyKey, fresh: Filing) -> None:
         self._filings[key] = fresh
         if fresh.state in {FilingState.OPEN, FilingState.LOST}:
             self._pending[key] = fresh
--- a/src/amaranthrail/entry/settlement.py
+++ b/src/amaranthrail/entry/settlement.py
@@ -8,7 +8,7 @@
 from ..outcomes import Outcome, Reason, not_run, unknown
 from ..policy.pick import rendezvous
 from ..records import FilingState, Intent
-from ..types import FilingKey
+from ..types import IdempotencyKey
 from .conclusions import Answer, Conclusions, recorded_answer
 from .core import EntryCore
 from .inquiries import ASK_TIMEOUT_MS, Inquiries
@@ -72,7 +72,7 @@
         )
         give_up = self._runtime.clock.now() + max(ASK_TIMEOUT_MS, give_up_ms)
         while self._runtime.clock.now() < give_up:
-            filing = self._ledger.find(FilingKey(intent.key))
+            filing = self._ledger.find(IdempotencyKey(intent.key))
             if filing is not None and filing.state is not FilingState.OPEN:
                 return recorded_answer(filing)
             peer = self._core.roster.find(intent.upstream)
@@ -95,7 +95,7 @@
         return not_run(reason, 'voided before its start', int(MS_PER_SECOND))
 
     def _is_open(self, intent: Intent) -> bool:
-        filing = self._ledger.find(FilingKey(intent.key))
+        filing = self._ledger.find(IdempotencyKey(intent.key))
         return (
             filing is not None
             and filing.intent.id == intent.id
--- a/src/amaranthrail/entry/shards.py
+++ b/src/amaranthrail/entry/shards.py
@@ -18,7 +18,7 @@
     new_record_id,
     shard_stream,
 )
-from ..types import FilingKey
+from ..types import IdempotencyKey
 from .ledger import Ledger
 
 _REPEAT_MS = 200
@@ -172,14 +172,14 @@
 
     def add(self, fact: AnyFact) -> None:
         """Queue a fact for its key's shard."""
-        self.shard_of(FilingKey(fact.key)).add(fact)
+        self.shard_of(IdempotencyKey(fact.key)).add(fact)
 
-    def shard_of(self, key: FilingKey) -> Shard:
+    def shard_of(self, key: IdempotencyKey) -> Shard:
         """Return the shard that keeps a key."""
         number = xxhash.xxh3_64_intdigest(key.encode()) % len(self._shards)
         return self._shards[number]
 
-    async def wait_caught_up(self, key: FilingKey) -> None:
+    async def wait_caught_up(self, key: IdempotencyKey) -> None:
         """Return once the key's shard has been read to its end."""
         await self.shard_of(key).follower.wait_caught_up()
 
--- a/src/amaranthrail/types.py
+++ b/src/amaranthrail/types.py
@@ -16,7 +16,7 @@
 #: ``<entry incarnation>-<sequence>``; unique over all entries and time.
 RequestId = NewType('RequestId', str)
 #: A caller's ``Idempotency-Key``, qualified by its organisation.
-FilingKey = NewType('FilingKey', str)
+IdempotencyKey = NewType('IdempotencyKey', str)
 #: Log offset at which the manifest in force was accepted; 0 is none.
 Version = NewType('Version', int)
 #: Position of a record in a stream of the log, from 1.
@@ -31,6 +31,6 @@
 HeaderList = tuple[tuple[str, str], ...]
 
 
-def qualified_key(organisation: str, key: str) -> FilingKey:
+def qualified_key(organisation: str, key: str) -> IdempotencyKey:
     """Return a caller's key as the record has it: it is its organisation's."""
-    return FilingKey(f'{organisation}/{key}')
+    return IdempotencyKey(f'{organisation}/{key}')
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -27,7 +27,7 @@
 )
 from amaranthrail.sidecar.gate import STALE_AFTER_MS, VOID_KEPT_MS, Gate
 from amaranthrail.sidecar.run import Run
-from amaranthrail.types import FilingKey, Incarnation, Offset
+from amaranthrail.types import IdempotencyKey, Incarnation, Offset
 
 from . import build
 
@@ -112,7 +112,7 @@
         for _ in range(2):
             offset += 1
             ledger.apply(0, LogEntry(Offset(offset), 0, text))
-    filing = ledger.find(FilingKey('a'))
+    filing = ledger.find(IdempotencyKey('a'))
     assert filing is not None
     assert (filing.state, filing.intent.id) == (state, intent)
 
@@ -150,7 +150,7 @@
 
     @rule(entry=st.integers(0, ENTRIES - 1), key=st.sampled_from(KEYS))
     def claim(self, entry: int, key: str) -> None:
-        filing = self.ledgers[entry].find(FilingKey(key))
+        filing = self.ledgers[entry].find(IdempotencyKey(key))
         if filing is not None and filing.state is not VOID:
             return
         name = f'{entry}-{len(self.made)}'
@@ -186,7 +186,7 @@
     def send_dispatch(self, data: st.DataObject) -> None:
         name = data.draw(st.sampled_from(sorted(self.made)))
         entry, made_at, key = self.made[name]
-        filing = self.ledgers[entry].find(FilingKey(key))
+        filing = self.ledgers[entry].find(IdempotencyKey(key))
         if filing is None or filing.intent.id != name:
             return
         incarnation, clock = self.heard[entry]
@@ -217,7 +217,7 @@
     @rule(data=st.data(), entry=st.integers(0, ENTRIES - 1))
     def inquire(self, data: st.DataObject, entry: int) -> None:
         key = data.draw(st.sampled_from(KEYS))
-        filing = self.ledgers[entry].find(FilingKey(key))
+        filing = self.ledgers[entry].find(IdempotencyKey(key))
         current = Incarnation(f's{self.restarts}')
         if filing is None or filing.state is not FilingState.OPEN:
             return
@@ -252,8 +252,8 @@
     def equal_positions_mean_equal_ledgers(self) -> None:
         if self.read[0] == self.read[1]:
             for key in KEYS:
-                first = self.ledgers[0].find(FilingKey(key))
-                assert first == self.ledgers[1].find(FilingKey(key))
+                first = self.ledgers[0].find(IdempotencyKey(key))
+                assert first == self.ledgers[1].find(IdempotencyKey(key))
 
 
 AtMostOnce.TestCase.settings = settings(
