--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -13,9 +13,9 @@
 from amaranthrail.entry.ledger import Ledger
 from amaranthrail.ports import LogEntry
 from amaranthrail.records import (
+    AttemptState,
     Conclusion,
     FilingBatch,
-    FilingState,
     Intent,
     encode_record,
 )
@@ -203,7 +203,7 @@
             Conclusion(
                 key=key,
                 intent=f'{number:032x}',
-                state=FilingState.RAN,
+                state=AttemptState.RAN,
                 status=200,
                 headers=(('content-type', 'application/json'),),
                 body=ANSWER,
--- a/src/amaranthrail/entry/administration.py
+++ b/src/amaranthrail/entry/administration.py
@@ -20,7 +20,7 @@
 from ..manifest import parse_manifest
 from ..ports import LogPort
 from ..publish import new_change, publish_drain, publish_manifest
-from ..records import Drain, FilingState, new_record_id
+from ..records import AttemptState, Drain, new_record_id
 from ..timeline import Event, merge_events
 from ..types import IdempotencyKey
 from .core import EntryCore
@@ -174,7 +174,7 @@
 
     async def _resolve(self, request: HttpRequest, reply: Reply) -> None:
         order = _decode_order(request.body, _ResolveOrder)
-        states = {'ran': FilingState.RAN, 'not-run': FilingState.VOID}
+        states = {'ran': AttemptState.RAN, 'not-run': AttemptState.VOID}
         if order is None or order.outcome not in states:
             usage = 'give outcome ("ran" or "not-run") and author'
             await send_json(reply, _BAD_REQUEST, {'title': usage})
@@ -182,7 +182,7 @@
         quoted = request.path[len(_LOST_PREFIX) : -len(_RESOLVE_SUFFIX)]
         key = IdempotencyKey(unquote(quoted))
         filing = self._core.shards.ledger.find(key)
-        if filing is None or filing.state is not FilingState.LOST:
+        if filing is None or filing.state is not AttemptState.LOST:
             missing = f'key {key!r} is not on the lost list'
             await send_json(reply, _NOT_FOUND, {'title': missing})
             return
--- a/src/amaranthrail/entry/conclusions.py
+++ b/src/amaranthrail/entry/conclusions.py
@@ -4,7 +4,7 @@
 
 from ..adapters.httpclient import HttpAnswer
 from ..outcomes import Outcome, Reason, Refusal, not_run, unknown
-from ..records import Conclusion, FilingState, Intent
+from ..records import AttemptState, Conclusion, Intent
 from ..runtime import Runtime
 from ..types import IdempotencyKey
 from .ledger import Filing
@@ -29,11 +29,11 @@
 
     def void(self, intent: Intent, reason: str) -> None:
         """Record that an attempt did not run and never will."""
-        self._conclude(intent, FilingState.VOID, reason)
+        self._conclude(intent, AttemptState.VOID, reason)
 
     def lost(self, intent: Intent, reason: str) -> None:
         """Record that what became of an attempt cannot be known."""
-        self._conclude(intent, FilingState.LOST, reason)
+        self._conclude(intent, AttemptState.LOST, reason)
 
     def ran(self, intent: Intent, answer: HttpAnswer) -> None:
         """Record that an attempt ran, and its answer."""
@@ -42,7 +42,7 @@
             Conclusion(
                 key=intent.key,
                 intent=intent.id,
-                state=FilingState.RAN,
+                state=AttemptState.RAN,
                 reason=Reason.ANSWER_TOO_LARGE.value if too_large else '',
                 status=answer.status,
                 headers=answer.headers,
@@ -53,7 +53,7 @@
     def _conclude(
         self,
         intent: Intent,
-        state: FilingState,
+        state: AttemptState,
         reason: str,
     ) -> None:
         self._add(
@@ -84,9 +84,9 @@
             Reason.KEY_LOST,
             f'resolved as {filing.state.value} by {filing.resolution.author}',
         )
-    if filing.state is FilingState.VOID:
+    if filing.state is AttemptState.VOID:
         return not_run(Reason.VOIDED, 'voided before its start')
-    if filing.state is FilingState.RAN and conclusion is not None:
+    if filing.state is AttemptState.RAN and conclusion is not None:
         if conclusion.reason:
             return Refusal(Outcome.RAN, Reason.ANSWER_TOO_LARGE, 'not kept')
         return HttpAnswer(
--- a/src/amaranthrail/entry/filings.py
+++ b/src/amaranthrail/entry/filings.py
@@ -11,7 +11,7 @@
 
 from ..clock import MS_PER_SECOND, move_on_after, sleep
 from ..outcomes import Outcome, Reason, Refusal, not_run, unknown
-from ..records import FilingState, Intent, Resolution
+from ..records import AttemptState, Intent, Resolution
 from ..types import IdempotencyKey
 from .call import Call, Target, make_dispatch
 from .conclusions import Answer, Conclusions, key_reused, recorded_answer
@@ -106,13 +106,13 @@
     async def resolve(
         self,
         key: IdempotencyKey,
-        state: FilingState,
+        state: AttemptState,
         author: str,
         timeout_ms: float,
     ) -> bool:
         """Close a lost key by an operator's word; tell if it is recorded."""
         filing = self._ledger.find(key)
-        if filing is None or filing.state is not FilingState.LOST:
+        if filing is None or filing.state is not AttemptState.LOST:
             return False
         self._core.shards.add(
             Resolution(
@@ -123,7 +123,7 @@
             ),
         )
         with move_on_after(timeout_ms):
-            while self._state_of(key) is FilingState.LOST:
+            while self._state_of(key) is AttemptState.LOST:
                 await self._ledger.wait_changed()
         return self._state_of(key) is state
 
@@ -139,13 +139,13 @@
             self._nursery.start_soon(self._work, key, call, job)
         return job
 
-    def _state_of(self, key: IdempotencyKey) -> FilingState | None:
+    def _state_of(self, key: IdempotencyKey) -> AttemptState | None:
         filing = self._ledger.find(key)
         return None if filing is None else filing.state
 
     async def _settle_overdue(self, key: IdempotencyKey, job: _Job) -> None:
         filing = self._ledger.find(key)
-        if filing is not None and filing.state is FilingState.OPEN:
+        if filing is not None and filing.state is AttemptState.OPEN:
             job.answer = await self._settlement.settle(filing.intent)
         self._finish(key, job)
 
@@ -165,7 +165,7 @@
         outcome: Answer = not_run(Reason.NO_CAPACITY)
         for _ in range(MAX_ATTEMPTS):
             filing = self._ledger.find(key)
-            if filing is not None and filing.state is not FilingState.VOID:
+            if filing is not None and filing.state is not AttemptState.VOID:
                 return await self._attach(filing, digest)
             outcome = await self._attempt(key, call, digest)
             if not _may_try_again(outcome):
@@ -198,7 +198,7 @@
         """Return what became of an attempt that was claimed before."""
         if filing.intent.digest != digest:
             return key_reused(IdempotencyKey(filing.intent.key))
-        if filing.state is FilingState.OPEN:
+        if filing.state is AttemptState.OPEN:
             return await self._follow(filing.intent)
         return recorded_answer(filing)
 
--- a/src/amaranthrail/entry/ledger.py
+++ b/src/amaranthrail/entry/ledger.py
@@ -9,9 +9,9 @@
 from ..ports import LogEntry
 from ..records import (
     AnyFact,
+    AttemptState,
     Conclusion,
     FilingBatch,
-    FilingState,
     Intent,
     Resolution,
     decode_record,
@@ -27,7 +27,7 @@
     """
 
     intent: Intent
-    state: FilingState
+    state: AttemptState
     shard: int
     offset: int
     recorded_at: int
@@ -73,11 +73,11 @@
 
     def open(self) -> list[Filing]:
         """Return the keys whose outcome is not known yet."""
-        return self._in_state(FilingState.OPEN)
+        return self._in_state(AttemptState.OPEN)
 
     def lost(self) -> list[Filing]:
         """Return the keys whose outcome cannot be known."""
-        return self._in_state(FilingState.LOST)
+        return self._in_state(AttemptState.LOST)
 
     async def wait_changed(self) -> None:
         """Return after the next record has been applied."""
@@ -109,7 +109,7 @@
             del self._filings[key]
             self._pending.pop(key, None)
 
-    def _in_state(self, state: FilingState) -> list[Filing]:
+    def _in_state(self, state: AttemptState) -> list[Filing]:
         return [one for one in self._pending.values() if one.state is state]
 
     def _apply_fact(self, shard: int, entry: LogEntry, fact: AnyFact) -> None:
@@ -127,7 +127,7 @@
 
     def _keep(self, key: IdempotencyKey, fresh: Filing) -> None:
         self._filings[key] = fresh
-        if fresh.state in {FilingState.OPEN, FilingState.LOST}:
+        if fresh.state in {AttemptState.OPEN, AttemptState.LOST}:
             self._pending[key] = fresh
         else:
             self._pending.pop(key, None)
@@ -140,10 +140,10 @@
     ) -> Filing | None:
         if known is None or known.intent.id != fact.intent:
             return None
-        if known.state is fact.state and known.state is not FilingState.LOST:
+        if known.state is fact.state and known.state is not AttemptState.LOST:
             return None
-        if known.state in {FilingState.RAN, FilingState.VOID}:
-            final = fact.state in {FilingState.RAN, FilingState.VOID}
+        if known.state in {AttemptState.RAN, AttemptState.VOID}:
+            final = fact.state in {AttemptState.RAN, AttemptState.VOID}
             self._contradictions += final
             return None
         return _moved(known, fact.state, entry, conclusion=fact)
@@ -159,12 +159,12 @@
         # Written again before retention drops it, or an append repeated.
         return _moved(known, known.state, entry)
     expected = 1 if known is None else known.intent.attempt + 1
-    claimed = known is not None and known.state is not FilingState.VOID
+    claimed = known is not None and known.state is not AttemptState.VOID
     if claimed or (known is not None and fact.attempt != expected):
         return None
     return Filing(
         fact,
-        FilingState.OPEN,
+        AttemptState.OPEN,
         shard,
         int(entry.offset),
         entry.appended_at,
@@ -178,14 +178,14 @@
 ) -> Filing | None:
     if known is None or known.intent.id != fact.intent:
         return None
-    if known.state is not FilingState.LOST:
+    if known.state is not AttemptState.LOST:
         return None
     return _moved(known, fact.state, entry, resolution=fact)
 
 
 def _moved(
     known: Filing,
-    state: FilingState,
+    state: AttemptState,
     entry: LogEntry,
     conclusion: Conclusion | None = None,
     resolution: Resolution | None = None,
--- a/src/amaranthrail/entry/settlement.py
+++ b/src/amaranthrail/entry/settlement.py
@@ -7,7 +7,7 @@
 from ..logs import part_logger
 from ..outcomes import Outcome, Reason, not_run, unknown
 from ..policy.pick import rendezvous
-from ..records import FilingState, Intent
+from ..records import AttemptState, Intent
 from ..types import IdempotencyKey
 from .conclusions import Answer, Conclusions, recorded_answer
 from .core import EntryCore
@@ -73,7 +73,7 @@
         give_up = self._runtime.clock.now() + max(ASK_TIMEOUT_MS, give_up_ms)
         while self._runtime.clock.now() < give_up:
             filing = self._ledger.find(IdempotencyKey(intent.key))
-            if filing is not None and filing.state is not FilingState.OPEN:
+            if filing is not None and filing.state is not AttemptState.OPEN:
                 return recorded_answer(filing)
             peer = self._core.roster.find(intent.upstream)
             if peer is not None and peer.is_gone(intent.incarnation):
@@ -99,5 +99,5 @@
         return (
             filing is not None
             and filing.intent.id == intent.id
-            and filing.state is FilingState.OPEN
+            and filing.state is AttemptState.OPEN
         )
--- a/src/amaranthrail/records.py
+++ b/src/amaranthrail/records.py
@@ -46,7 +46,7 @@
     author: str
 
 
-class FilingState(Enum):
+class AttemptState(Enum):
     """Say where a key's latest attempt stands."""
 
     OPEN = 'open'
@@ -83,7 +83,7 @@
     """Say how the attempt of an intent ended."""
 
     intent: str
-    state: FilingState
+    state: AttemptState
     reason: str = ''
     status: int = 0
     headers: tuple[tuple[str, str], ...] = ()
@@ -94,7 +94,7 @@
     """Close a lost attempt by an operator's word: ran or void."""
 
     intent: str
-    state: FilingState
+    state: AttemptState
     author: str
 
 
--- a/tests/build.py
+++ b/tests/build.py
@@ -9,8 +9,8 @@
 
 from amaranthrail.frames import Dispatch, Heartbeat
 from amaranthrail.records import (
+    AttemptState,
     Conclusion,
-    FilingState,
     Intent,
     ManifestChange,
     ManifestSnapshot,
@@ -59,7 +59,7 @@
     return Intent(**{**fields, **changes})
 
 
-def conclusion(key: str, name: str, state: FilingState) -> Conclusion:
+def conclusion(key: str, name: str, state: AttemptState) -> Conclusion:
     return Conclusion(key=key, intent=name, state=state)
 
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -21,8 +21,8 @@
 from amaranthrail.ports import LogEntry
 from amaranthrail.records import (
     AnyFact,
+    AttemptState,
     FilingBatch,
-    FilingState,
     encode_record,
 )
 from amaranthrail.sidecar.gate import STALE_AFTER_MS, VOID_KEPT_MS, Gate
@@ -33,11 +33,11 @@
 
 ENTRIES = 2
 KEYS = ('a', 'b')
-OPEN = FilingState.OPEN
-OPEN = FilingState.OPEN
-RAN = FilingState.RAN
-VOID = FilingState.VOID
-LOST = FilingState.LOST
+OPEN = AttemptState.OPEN
+OPEN = AttemptState.OPEN
+RAN = AttemptState.RAN
+VOID = AttemptState.VOID
+LOST = AttemptState.LOST
 
 FACTS = [
     # what the log says in order, and where the key stands then
@@ -101,7 +101,7 @@
 @pytest.mark.parametrize(('facts', 'state', 'intent'), FACTS)
 def test_facts_in_order(
     facts: list[AnyFact],
-    state: FilingState,
+    state: AttemptState,
     intent: str,
 ) -> None:
     ledger = Ledger()
@@ -219,7 +219,7 @@
         key = data.draw(st.sampled_from(KEYS))
         filing = self.ledgers[entry].find(IdempotencyKey(key))
         current = Incarnation(f's{self.restarts}')
-        if filing is None or filing.state is not FilingState.OPEN:
+        if filing is None or filing.state is not AttemptState.OPEN:
             return
         state = LOST
         if filing.intent.incarnation == current:
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -9,9 +9,9 @@
 from hypothesis import strategies as st
 
 from amaranthrail.records import (
+    AttemptState,
     Conclusion,
     FilingBatch,
-    FilingState,
     Intent,
     Record,
     decode_record,
@@ -65,7 +65,7 @@
     fact = Conclusion(
         key='k',
         intent='i',
-        state=FilingState.RAN,
+        state=AttemptState.RAN,
         body=bytes(range(256)),
     )
     batch = FilingBatch(id='one', facts=(fact,))
