--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -15,7 +15,7 @@
 from amaranthrail.records import (
     AttemptState,
     Conclusion,
-    FilingBatch,
+    FactBatch,
     Intent,
     encode_record,
 )
@@ -209,4 +209,4 @@
                 body=ANSWER,
             ),
         )
-    return encode_record(FilingBatch(id=f'{start:032x}', facts=tuple(facts)))
+    return encode_record(FactBatch(id=f'{start:032x}', facts=tuple(facts)))
--- a/src/amaranthrail/entry/ledger.py
+++ b/src/amaranthrail/entry/ledger.py
@@ -11,7 +11,7 @@
     AnyFact,
     AttemptState,
     Conclusion,
-    FilingBatch,
+    FactBatch,
     Intent,
     Resolution,
     decode_record,
@@ -86,7 +86,7 @@
     def apply(self, shard: int, entry: LogEntry) -> str:
         """Take in the next record of a shard; return its id, if it has one."""
         record = decode_record(entry.text)
-        if isinstance(record, FilingBatch):
+        if isinstance(record, FactBatch):
             for fact in record.facts:
                 self._apply_fact(shard, entry, fact)
         else:
--- a/src/amaranthrail/entry/shards.py
+++ b/src/amaranthrail/entry/shards.py
@@ -13,7 +13,7 @@
 from ..ports import LogEntry, LogPort
 from ..records import (
     AnyFact,
-    FilingBatch,
+    FactBatch,
     encode_record,
     new_record_id,
     shard_stream,
@@ -98,7 +98,7 @@
 
     async def _append_batch(self) -> None:
         facts = tuple(self._waiting)[:_MAX_BATCH_FACTS]
-        record = FilingBatch(id=new_record_id(), facts=facts)
+        record = FactBatch(id=new_record_id(), facts=facts)
         self._appending = record.id
         self._seen = trio.Event()
         text = encode_record(record)
--- a/src/amaranthrail/records.py
+++ b/src/amaranthrail/records.py
@@ -101,13 +101,13 @@
 AnyFact = Intent | Conclusion | Resolution
 
 
-class FilingBatch(Record, frozen=True, kw_only=True, tag='filings'):
+class FactBatch(Record, frozen=True, kw_only=True, tag='filings'):
     """Carry what one entry has to say of a shard, in order."""
 
     facts: tuple[AnyFact, ...]
 
 
-AnyRecord = ManifestChange | ManifestSnapshot | Drain | FilingBatch
+AnyRecord = ManifestChange | ManifestSnapshot | Drain | FactBatch
 
 _decoder: msgspec.json.Decoder[AnyRecord] = msgspec.json.Decoder(AnyRecord)
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -22,7 +22,7 @@
 from amaranthrail.records import (
     AnyFact,
     AttemptState,
-    FilingBatch,
+    FactBatch,
     encode_record,
 )
 from amaranthrail.sidecar.gate import STALE_AFTER_MS, VOID_KEPT_MS, Gate
@@ -108,7 +108,7 @@
 
     offset = 0
     for fact in facts:
-        text = encode_record(FilingBatch(id='x', facts=(fact,)))
+        text = encode_record(FactBatch(id='x', facts=(fact,)))
         for _ in range(2):
             offset += 1
             ledger.apply(0, LogEntry(Offset(offset), 0, text))
@@ -146,7 +146,7 @@
         return Gate('u', incarnation, self.clock, self.configuration)
 
     def append(self, *facts: AnyFact) -> None:
-        self.log.append(encode_record(FilingBatch(id='x', facts=facts)))
+        self.log.append(encode_record(FactBatch(id='x', facts=facts)))
 
     @rule(entry=st.integers(0, ENTRIES - 1), key=st.sampled_from(KEYS))
     def claim(self, entry: int, key: str) -> None:
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -11,7 +11,7 @@
 from amaranthrail.records import (
     AttemptState,
     Conclusion,
-    FilingBatch,
+    FactBatch,
     Intent,
     Record,
     decode_record,
@@ -52,7 +52,7 @@
 @fuzz
 @given(st.lists(_facts, max_size=4))
 def test_filings_survive(facts: list[Intent | Conclusion]) -> None:
-    batch = FilingBatch(id='one', facts=tuple(facts))
+    batch = FactBatch(id='one', facts=tuple(facts))
     assert decode_record(encode_record(batch)) == batch
 
 
@@ -68,5 +68,5 @@
         state=AttemptState.RAN,
         body=bytes(range(256)),
     )
-    batch = FilingBatch(id='one', facts=(fact,))
+    batch = FactBatch(id='one', facts=(fact,))
     assert decode_record(encode_record(batch)) == batch
