--- a/src/amaranthrail/api.py
+++ b/src/amaranthrail/api.py
@@ -16,7 +16,7 @@
 from .clock import move_on_after
 from .configuration import Configuration, Verdict
 from .exceptions import AmaranthrailError, HttpError
-from .follower import Follower
+from .follower import StreamConsumer
 from .publish import new_change, publish_manifest
 from .records import CONTROL_STREAM
 from .timeline import Event, decode_events, merge_events
@@ -195,7 +195,7 @@
     """Propose a manifest straight to the log, with no entry running."""
     log = HttpLog(parse_address(platform))
     configuration = Configuration()
-    follower = Follower(log, CONTROL_STREAM, configuration.apply)
+    follower = StreamConsumer(log, CONTROL_STREAM, configuration.apply)
     verdict: Verdict | None = None
     change = ''
     with move_on_after(timeout_ms):
--- a/src/amaranthrail/entry/administration.py
+++ b/src/amaranthrail/entry/administration.py
@@ -16,7 +16,7 @@
 from ..adapters.problem import JSON_TYPE, send_json
 from ..configuration import Configuration
 from ..exceptions import ManifestError
-from ..follower import Follower
+from ..follower import StreamConsumer
 from ..manifest import parse_manifest
 from ..ports import LogPort
 from ..publish import new_change, publish_drain, publish_manifest
@@ -61,7 +61,7 @@
 
     core: EntryCore
     filings: Filings
-    control: Follower
+    control: StreamConsumer
     log: LogPort
 
 
--- a/src/amaranthrail/entry/service.py
+++ b/src/amaranthrail/entry/service.py
@@ -11,7 +11,7 @@
 from ..adapters.listen import open_listeners, secured
 from ..adapters.platform import HttpHostList, HttpLog
 from ..clock import sleep
-from ..follower import Follower
+from ..follower import StreamConsumer
 from ..logs import part_logger
 from ..records import CONTROL_STREAM
 from ..runtime import Runtime
@@ -53,7 +53,7 @@
             self._runtime.clock,
             settings.shard_interval_ms,
         )
-        self._control = Follower(
+        self._control = StreamConsumer(
             HttpLog(settings.platform),
             CONTROL_STREAM,
             self._runtime.configuration.apply,
--- a/src/amaranthrail/entry/shards.py
+++ b/src/amaranthrail/entry/shards.py
@@ -9,7 +9,7 @@
 
 from ..clock import Clock, move_on_after, sleep
 from ..exceptions import LogUnavailableError
-from ..follower import Follower
+from ..follower import StreamConsumer
 from ..ports import LogEntry, LogPort
 from ..records import (
     AnyFact,
@@ -53,10 +53,10 @@
         self._unanswered = 0
         self._appending = ''
         self._seen = trio.Event()
-        self._follower = Follower(log, shard_stream(number), self._apply)
+        self._follower = StreamConsumer(log, shard_stream(number), self._apply)
 
     @property
-    def follower(self) -> Follower:
+    def follower(self) -> StreamConsumer:
         """Return the reader of the shard."""
         return self._follower
 
--- a/src/amaranthrail/entry/upkeep.py
+++ b/src/amaranthrail/entry/upkeep.py
@@ -6,7 +6,7 @@
 
 from ..clock import sleep
 from ..exceptions import LogUnavailableError
-from ..follower import Follower
+from ..follower import StreamConsumer
 from ..logs import part_logger
 from ..policy.pick import rendezvous
 from ..ports import LogPort
@@ -34,7 +34,7 @@
         self,
         runtime: Runtime,
         log: LogPort,
-        control: Follower,
+        control: StreamConsumer,
         shards: Shards,
     ) -> None:
         """Take the log, the follower of the control stream, the shards."""
--- a/src/amaranthrail/follower.py
+++ b/src/amaranthrail/follower.py
@@ -16,7 +16,7 @@
 _MAX_BACKOFF_MS = 800
 
 
-class Follower:
+class StreamConsumer:
     """Read one stream by long poll and hand on each record once."""
 
     def __init__(
