--- a/src/amaranthrail/api.py
+++ b/src/amaranthrail/api.py
@@ -15,8 +15,8 @@
 from .adapters.platform import HttpLog
 from .clock import move_on_after
 from .configuration import Configuration, Verdict
+from .consumer import StreamConsumer
 from .exceptions import AmaranthrailError, HttpError
-from .follower import StreamConsumer
 from .publish import new_change, publish_manifest
 from .records import CONTROL_STREAM
 from .timeline import Event, decode_events, merge_events
--- a/src/amaranthrail/entry/administration.py
+++ b/src/amaranthrail/entry/administration.py
@@ -15,8 +15,8 @@
 from ..adapters.probes import send_alive, send_metrics, send_ready
 from ..adapters.problem import JSON_TYPE, send_json
 from ..configuration import Configuration
+from ..consumer import StreamConsumer
 from ..exceptions import ManifestError
-from ..follower import StreamConsumer
 from ..manifest import parse_manifest
 from ..ports import LogPort
 from ..publish import new_change, publish_drain, publish_manifest
--- a/src/amaranthrail/entry/service.py
+++ b/src/amaranthrail/entry/service.py
@@ -11,7 +11,7 @@
 from ..adapters.listen import open_listeners, secured
 from ..adapters.platform import HttpHostList, HttpLog
 from ..clock import sleep
-from ..follower import StreamConsumer
+from ..consumer import StreamConsumer
 from ..logs import part_logger
 from ..records import CONTROL_STREAM
 from ..runtime import Runtime
--- a/src/amaranthrail/entry/shards.py
+++ b/src/amaranthrail/entry/shards.py
@@ -8,8 +8,8 @@
 import xxhash
 
 from ..clock import Clock, move_on_after, sleep
+from ..consumer import StreamConsumer
 from ..exceptions import LogUnavailableError
-from ..follower import StreamConsumer
 from ..ports import LogEntry, LogPort
 from ..records import (
     AnyFact,
--- a/src/amaranthrail/entry/upkeep.py
+++ b/src/amaranthrail/entry/upkeep.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from ..clock import sleep
+from ..consumer import StreamConsumer
 from ..exceptions import LogUnavailableError
-from ..follower import StreamConsumer
 from ..logs import part_logger
 from ..policy.pick import rendezvous
 from ..ports import LogPort
