--- a/src/amaranthrail/consumer.py
+++ b/src/amaranthrail/consumer.py
@@ -41,7 +41,7 @@
         return self._reachable
 
     @property
-    def first(self) -> int:
+    def oldest_offset(self) -> int:
         """Return the oldest offset that the log still keeps."""
         return self._first
 
--- a/src/amaranthrail/entry/shards.py
+++ b/src/amaranthrail/entry/shards.py
@@ -186,7 +186,7 @@
     def forget_expired(self) -> None:
         """Drop the keys that the log no longer keeps."""
         for number, shard in enumerate(self._shards):
-            self._ledger.forget(number, shard.follower.first)
+            self._ledger.forget(number, shard.follower.oldest_offset)
 
     async def run(self) -> None:
         """Append and follow for good."""
