--- a/src/amaranthrail/configuration.py
+++ b/src/amaranthrail/configuration.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class InForce:
+class ActiveManifest:
     """Hold the accepted manifest that is in force here."""
 
     version: Version
@@ -56,18 +56,18 @@
 
     def __init__(self) -> None:
         """Start with nothing in force."""
-        self._in_force: InForce | None = None
+        self._in_force: ActiveManifest | None = None
         self._read_version: Version | None = None
         self._read_anything = False
         self._drains: dict[str, tuple[int, bool]] = {}
         self._verdicts: dict[str, Verdict] = {}
         self._changed = trio.Event()
         self._skipped = 0
-        self._listeners: list[Callable[[InForce], None]] = []
+        self._listeners: list[Callable[[ActiveManifest], None]] = []
         self._snapshot_at = 0
 
     @property
-    def in_force(self) -> InForce | None:
+    def in_force(self) -> ActiveManifest | None:
         """Return what is in force here, if anything is."""
         return self._in_force
 
@@ -96,7 +96,7 @@
         """Return when the log took its youngest copy of what is in force."""
         return self._snapshot_at
 
-    def on_change(self, listener: Callable[[InForce], None]) -> None:
+    def on_change(self, listener: Callable[[ActiveManifest], None]) -> None:
         """Call a function with each configuration that comes into force."""
         self._listeners.append(listener)
 
@@ -122,7 +122,7 @@
         newer = self._adopt_drains(drains)
         if version > self.version:
             manifest = parse_manifest(text)
-            self._put_in_force(InForce(Version(version), text, manifest))
+            self._put_in_force(ActiveManifest(Version(version), text, manifest))
             newer = True
         if newer:
             self._notify()
@@ -213,9 +213,9 @@
         if version >= self.version:
             self._snapshot_at = entry.appended_at
         if version > self.version:
-            self._put_in_force(InForce(version, text, manifest))
+            self._put_in_force(ActiveManifest(version, text, manifest))
 
-    def _put_in_force(self, fresh: InForce) -> None:
+    def _put_in_force(self, fresh: ActiveManifest) -> None:
         self._in_force = fresh
         for listener in self._listeners:
             listener(fresh)
--- a/src/amaranthrail/entry/core.py
+++ b/src/amaranthrail/entry/core.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import dataclass, field
 
-from ..configuration import InForce
+from ..configuration import ActiveManifest
 from ..manifest import AdmissionPolicy, Service
 from ..outcomes import Reason, Refusal, not_run
 from ..policy.admission import Demand, FairShares, admit
@@ -170,7 +170,7 @@
             )
         return pickers[service.name]
 
-    def _configure(self, in_force: InForce) -> None:
+    def _configure(self, in_force: ActiveManifest) -> None:
         manifest = in_force.manifest
         self._policies.routes = RouteTable(manifest)
         self._policies.pickers.clear()
--- a/src/amaranthrail/sidecar/service.py
+++ b/src/amaranthrail/sidecar/service.py
@@ -21,7 +21,7 @@
 from ..adapters.problem import send_json
 from ..adapters.rankengine import HttpRankEngine, HttpWeightStore
 from ..clock import move_on_after, sleep
-from ..configuration import InForce
+from ..configuration import ActiveManifest
 from ..logs import part_logger
 from ..manifest import Policies
 from ..runtime import Runtime
@@ -136,7 +136,7 @@
             None if files is None else client_context(files),
         )
 
-    def _configure(self, in_force: InForce) -> None:
+    def _configure(self, in_force: ActiveManifest) -> None:
         self._runtime.metrics.gauge('manifest_version', in_force.version)
         for peer in tuple(self._peers):
             peer.announce()
