--- a/src/amaranthrail/api.py
+++ b/src/amaranthrail/api.py
@@ -14,7 +14,7 @@
 from .adapters.httpclient import HttpAnswer, HttpClient, parse_address
 from .adapters.platform import HttpLog
 from .clock import move_on_after
-from .configuration import Configuration, Verdict
+from .configuration import Configuration, PublishResult
 from .consumer import StreamConsumer
 from .exceptions import AmaranthrailError, HttpError
 from .publish import new_change, publish_manifest
@@ -196,7 +196,7 @@
     log = HttpLog(parse_address(platform))
     configuration = Configuration()
     follower = StreamConsumer(log, CONTROL_STREAM, configuration.apply)
-    verdict: Verdict | None = None
+    verdict: PublishResult | None = None
     change = ''
     with move_on_after(timeout_ms):
         async with trio.open_nursery() as nursery:
--- a/src/amaranthrail/configuration.py
+++ b/src/amaranthrail/configuration.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class PublishResult:
     """Say what version is in force after a change, and why it is not it."""
 
     version: Version
@@ -60,7 +60,7 @@
         self._read_version: Version | None = None
         self._read_anything = False
         self._drains: dict[str, tuple[int, bool]] = {}
-        self._verdicts: dict[str, Verdict] = {}
+        self._verdicts: dict[str, PublishResult] = {}
         self._changed = trio.Event()
         self._skipped = 0
         self._listeners: list[Callable[[ActiveManifest], None]] = []
@@ -104,7 +104,7 @@
         """Tell whether an operator drains an upstream."""
         return self._drains.get(upstream, (0, False))[1]
 
-    def verdict(self, record_id: str) -> Verdict | None:
+    def verdict(self, record_id: str) -> PublishResult | None:
         """Return what became of a change, once it has been read."""
         return self._verdicts.get(record_id)
 
@@ -170,17 +170,17 @@
         current = self._read_version
         if record.base != current:
             reason = f'made from version {record.base}, {current} is in force'
-            self._verdicts[record.id] = Verdict(current, reason)
+            self._verdicts[record.id] = PublishResult(current, reason)
             return
         text = bytes(record.manifest)
         try:
             manifest = parse_manifest(text)
         except ManifestError as error:
-            self._verdicts[record.id] = Verdict(current, str(error))
+            self._verdicts[record.id] = PublishResult(current, str(error))
             return
         version = Version(entry.offset)
         self._read_version = version
-        self._verdicts[record.id] = Verdict(version)
+        self._verdicts[record.id] = PublishResult(version)
         self._take_read(version, text, manifest, entry)
 
     def _apply_snapshot(
--- a/src/amaranthrail/publish.py
+++ b/src/amaranthrail/publish.py
@@ -6,7 +6,7 @@
 import trio
 
 from .clock import move_on_after, sleep
-from .configuration import Configuration, Verdict
+from .configuration import Configuration, PublishResult
 from .exceptions import LogUnavailableError
 from .ports import LogPort
 from .records import (
@@ -43,7 +43,7 @@
     configuration: Configuration,
     change: ManifestChange,
     timeout_ms: int,
-) -> Verdict | None:
+) -> PublishResult | None:
     """Append a change and return its verdict, None if not known in time.
 
     The configuration must be following the log meanwhile.
