--- a/src/amaranthrail/configuration.py
+++ b/src/amaranthrail/configuration.py
@@ -104,7 +104,7 @@
         """Tell whether an operator drains an upstream."""
         return self._drains.get(upstream, (0, False))[1]
 
-    def verdict(self, record_id: str) -> PublishResult | None:
+    def publish_result(self, record_id: str) -> PublishResult | None:
         """Return what became of a change, once it has been read."""
         return self._verdicts.get(record_id)
 
--- a/src/amaranthrail/publish.py
+++ b/src/amaranthrail/publish.py
@@ -51,7 +51,7 @@
     seen = trio.Event()
 
     async def watch() -> None:
-        while configuration.verdict(change.id) is None:
+        while configuration.publish_result(change.id) is None:
             await configuration.wait_changed()
         seen.set()
 
@@ -59,7 +59,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(watch)
             await append_until_seen(log, change, seen)
-    return configuration.verdict(change.id)
+    return configuration.publish_result(change.id)
 
 
 def new_change(base: int, text: bytes, author: str) -> ManifestChange:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -35,7 +35,7 @@
         log.put(CONTROL_STREAM, encode_record(build.change(name, 0)))
     reader = Configuration()
     _read(log, reader)
-    verdicts = [reader.verdict(name) for name in ('one', 'two', 'three')]
+    verdicts = [reader.publish_result(name) for name in ('one', 'two', 'three')]
     assert [one and one.accepted for one in verdicts] == [True, False, False]
     assert {one and one.version for one in verdicts} == {1}
     assert reader.version == 1
@@ -48,7 +48,7 @@
         log.put(CONTROL_STREAM, text)
     reader = Configuration()
     _read(log, reader)
-    verdict = reader.verdict('one')
+    verdict = reader.publish_result('one')
     assert verdict is not None
     assert verdict.accepted
     assert reader.version == 1
@@ -60,7 +60,7 @@
     log.put(CONTROL_STREAM, good.replace(b'"format"', b'"farmat"'))
     reader = Configuration()
     _read(log, reader)
-    verdict = reader.verdict('bad')
+    verdict = reader.publish_result('bad')
     assert verdict is not None
     assert 'farmat: Extra inputs' in verdict.reason
     assert reader.version == 0
