--- a/src/amaranthrail/configuration.py
+++ b/src/amaranthrail/configuration.py
@@ -92,7 +92,7 @@
         return self._skipped
 
     @property
-    def kept_since(self) -> int:
+    def last_stored_at(self) -> int:
         """Return when the log took its youngest copy of what is in force."""
         return self._snapshot_at
 
--- a/src/amaranthrail/entry/upkeep.py
+++ b/src/amaranthrail/entry/upkeep.py
@@ -57,7 +57,7 @@
         in_force = configuration.in_force
         if in_force is None or not self._control.reachable:
             return
-        if not self._is_due(configuration.kept_since, 'manifest'):
+        if not self._is_due(configuration.last_stored_at, 'manifest'):
             return
         snapshot = ManifestSnapshot(
             id=new_record_id(),
