--- a/src/amaranthrail/entry/exchange.py
+++ b/src/amaranthrail/entry/exchange.py
@@ -9,12 +9,12 @@
 
 from ..frames import (
     Ack,
-    AskKey,
     Broken,
     Dispatch,
     End,
     Head,
     Inquire,
+    KeyQuery,
     Part,
     Refused,
 )
@@ -25,7 +25,7 @@
 ACK_EVERY_BYTES = 65_536
 
 #: The frames that open an exchange.
-Opening = Dispatch | Inquire | AskKey
+Opening = Dispatch | Inquire | KeyQuery
 
 
 class Exchange:
--- a/src/amaranthrail/entry/inflight.py
+++ b/src/amaranthrail/entry/inflight.py
@@ -5,13 +5,13 @@
 import trio
 
 from ..frames import (
-    AskKey,
     Broken,
     Dispatch,
     End,
     Events,
     Head,
     Inquire,
+    KeyQuery,
     Part,
     Refused,
     Resume,
@@ -90,7 +90,7 @@
         if waiter is not None:
             waiter.take(frame.payload)
 
-    def resumptions(self) -> list[Resume | Inquire | AskKey]:
+    def resumptions(self) -> list[Resume | Inquire | KeyQuery]:
         """Return the frames that go on with all exchanges on a new link."""
         return [_resumption(one) for one in self._exchanges.values()]
 
@@ -101,9 +101,9 @@
         self._exchanges.clear()
 
 
-def _resumption(exchange: Exchange) -> Resume | Inquire | AskKey:
+def _resumption(exchange: Exchange) -> Resume | Inquire | KeyQuery:
     opening = exchange.opening
-    if isinstance(opening, AskKey):
+    if isinstance(opening, KeyQuery):
         return opening
     if isinstance(opening, Dispatch) and not opening.intent:
         return Resume(
--- a/src/amaranthrail/entry/peers.py
+++ b/src/amaranthrail/entry/peers.py
@@ -24,7 +24,6 @@
 from ..frames import (
     Ack,
     AnyFrame,
-    AskKey,
     Broken,
     Cancel,
     Dispatch,
@@ -35,6 +34,7 @@
     Heartbeat,
     Hello,
     Inquire,
+    KeyQuery,
     Part,
     Refused,
     Welcome,
@@ -182,7 +182,7 @@
     def ask_key(self, key: str) -> Exchange:
         """Ask what became of a key there, voiding nothing."""
         request = self._access.next_request()
-        exchange = Exchange(request, AskKey(request, key))
+        exchange = Exchange(request, KeyQuery(request, key))
         self._open(exchange)
         return exchange
 
--- a/src/amaranthrail/frames.py
+++ b/src/amaranthrail/frames.py
@@ -170,7 +170,7 @@
     received: int = 0
 
 
-class AskKey(Frame, frozen=True, tag='key?'):
+class KeyQuery(Frame, frozen=True, tag='key?'):
     """Ask what became of a key, voiding nothing; for when the log is down."""
 
     request: str
@@ -232,7 +232,7 @@
     | Resume
     | Cancel
     | Inquire
-    | AskKey
+    | KeyQuery
     | ManifestPull
     | ManifestPush
     | EventsAsk
--- a/src/amaranthrail/sidecar/peers.py
+++ b/src/amaranthrail/sidecar/peers.py
@@ -14,7 +14,6 @@
 from ..frames import (
     Ack,
     AnyFrame,
-    AskKey,
     Broken,
     Cancel,
     Dispatch,
@@ -25,6 +24,7 @@
     Heartbeat,
     Hello,
     Inquire,
+    KeyQuery,
     Refused,
     Resume,
     Welcome,
@@ -176,7 +176,7 @@
                 self._take_dispatch(frame)
             case Ack():
                 self._take_ack(frame)
-            case Resume() | Inquire() | AskKey() | Cancel():
+            case Resume() | Inquire() | KeyQuery() | Cancel():
                 self._take_question(frame)
             case EventsAsk():
                 events = self._runtime.timeline.after(frame.after)
@@ -196,7 +196,7 @@
 
     def _take_question(
         self,
-        frame: Resume | Inquire | AskKey | Cancel,
+        frame: Resume | Inquire | KeyQuery | Cancel,
     ) -> None:
         gate = self._office.gate
         match frame:
@@ -208,7 +208,7 @@
                 self._answer(frame.request, run, progress)
             case Inquire():
                 self._take_inquiry(frame)
-            case AskKey():
+            case KeyQuery():
                 self._take_key_question(frame)
             case Cancel():
                 self._cancel(frame.request)
@@ -224,7 +224,7 @@
         progress = Progress(inquiry.received)
         self._answer(inquiry.request, run, progress)
 
-    def _take_key_question(self, asked: AskKey) -> None:
+    def _take_key_question(self, asked: KeyQuery) -> None:
         run = self._office.gate.find_key(asked.key)
         if run is None:
             self._refuse(asked.request, Reason.KEY_UNKNOWN, 'never ran here')
