--- a/src/amaranthrail/entry/exchange.py
+++ b/src/amaranthrail/entry/exchange.py
@@ -9,11 +9,11 @@
 
 from ..frames import (
     Ack,
+    AttemptQuery,
     Broken,
     Dispatch,
     End,
     Head,
-    Inquire,
     KeyQuery,
     Part,
     Refused,
@@ -25,7 +25,7 @@
 ACK_EVERY_BYTES = 65_536
 
 #: The frames that open an exchange.
-Opening = Dispatch | Inquire | KeyQuery
+Opening = Dispatch | AttemptQuery | KeyQuery
 
 
 class Exchange:
--- a/src/amaranthrail/entry/inflight.py
+++ b/src/amaranthrail/entry/inflight.py
@@ -5,12 +5,12 @@
 import trio
 
 from ..frames import (
+    AttemptQuery,
     Broken,
     Dispatch,
     End,
     Events,
     Head,
-    Inquire,
     KeyQuery,
     Part,
     Refused,
@@ -90,7 +90,7 @@
         if waiter is not None:
             waiter.take(frame.payload)
 
-    def resumptions(self) -> list[Resume | Inquire | KeyQuery]:
+    def resumptions(self) -> list[Resume | AttemptQuery | KeyQuery]:
         """Return the frames that go on with all exchanges on a new link."""
         return [_resumption(one) for one in self._exchanges.values()]
 
@@ -101,7 +101,7 @@
         self._exchanges.clear()
 
 
-def _resumption(exchange: Exchange) -> Resume | Inquire | KeyQuery:
+def _resumption(exchange: Exchange) -> Resume | AttemptQuery | KeyQuery:
     opening = exchange.opening
     if isinstance(opening, KeyQuery):
         return opening
@@ -111,7 +111,7 @@
             exchange.received,
             exchange.has_head,
         )
-    return Inquire(
+    return AttemptQuery(
         exchange.request,
         opening.incarnation,
         opening.intent,
--- a/src/amaranthrail/entry/peers.py
+++ b/src/amaranthrail/entry/peers.py
@@ -24,6 +24,7 @@
 from ..frames import (
     Ack,
     AnyFrame,
+    AttemptQuery,
     Broken,
     Cancel,
     Dispatch,
@@ -33,7 +34,6 @@
     Head,
     Heartbeat,
     Hello,
-    Inquire,
     KeyQuery,
     Part,
     Refused,
@@ -175,7 +175,7 @@
         """Ask what became of an attempt, voiding it if it has not started."""
         request = self._access.next_request()
         incarnation = self._incarnation or ''
-        exchange = Exchange(request, Inquire(request, incarnation, intent))
+        exchange = Exchange(request, AttemptQuery(request, incarnation, intent))
         self._open(exchange)
         return exchange
 
--- a/src/amaranthrail/frames.py
+++ b/src/amaranthrail/frames.py
@@ -161,7 +161,7 @@
     request: str
 
 
-class Inquire(Frame, frozen=True, tag='inquire'):
+class AttemptQuery(Frame, frozen=True, tag='inquire'):
     """Ask what became of an attempt; one not started is voided for good."""
 
     request: str
@@ -231,7 +231,7 @@
     | Ack
     | Resume
     | Cancel
-    | Inquire
+    | AttemptQuery
     | KeyQuery
     | ManifestPull
     | ManifestPush
--- a/src/amaranthrail/sidecar/peers.py
+++ b/src/amaranthrail/sidecar/peers.py
@@ -14,6 +14,7 @@
 from ..frames import (
     Ack,
     AnyFrame,
+    AttemptQuery,
     Broken,
     Cancel,
     Dispatch,
@@ -23,7 +24,6 @@
     GroupReply,
     Heartbeat,
     Hello,
-    Inquire,
     KeyQuery,
     Refused,
     Resume,
@@ -176,7 +176,7 @@
                 self._take_dispatch(frame)
             case Ack():
                 self._take_ack(frame)
-            case Resume() | Inquire() | KeyQuery() | Cancel():
+            case Resume() | AttemptQuery() | KeyQuery() | Cancel():
                 self._take_question(frame)
             case EventsAsk():
                 events = self._runtime.timeline.after(frame.after)
@@ -196,7 +196,7 @@
 
     def _take_question(
         self,
-        frame: Resume | Inquire | KeyQuery | Cancel,
+        frame: Resume | AttemptQuery | KeyQuery | Cancel,
     ) -> None:
         gate = self._office.gate
         match frame:
@@ -206,14 +206,14 @@
                     gate.void(frame.request)
                 progress = Progress(frame.received, has_head=frame.has_head)
                 self._answer(frame.request, run, progress)
-            case Inquire():
+            case AttemptQuery():
                 self._take_inquiry(frame)
             case KeyQuery():
                 self._take_key_question(frame)
             case Cancel():
                 self._cancel(frame.request)
 
-    def _take_inquiry(self, inquiry: Inquire) -> None:
+    def _take_inquiry(self, inquiry: AttemptQuery) -> None:
         if inquiry.incarnation != self._runtime.incarnation:
             # What an earlier incarnation ran cannot be known here.
             stamp = self._runtime.clock.stamp()
