--- a/src/amaranthrail/entry/peers.py
+++ b/src/amaranthrail/entry/peers.py
@@ -30,7 +30,7 @@
     Dispatch,
     End,
     Events,
-    EventsAsk,
+    EventsRequest,
     Head,
     Heartbeat,
     Hello,
@@ -217,7 +217,7 @@
             return []
         request = self._access.next_request()
         waiter = self._in_flight.add_waiter(request)
-        self._link.post(EventsAsk(request, 0))
+        self._link.post(EventsRequest(request, 0))
         with move_on_after(timeout_ms):
             await waiter.wait()
         self._in_flight.remove_waiter(request)
--- a/src/amaranthrail/frames.py
+++ b/src/amaranthrail/frames.py
@@ -189,7 +189,7 @@
     drains: tuple[tuple[str, int, bool], ...]
 
 
-class EventsAsk(Frame, frozen=True, tag='events?'):
+class EventsRequest(Frame, frozen=True, tag='events?'):
     """Ask for the time line of the peer after a sequence number."""
 
     request: str
@@ -235,7 +235,7 @@
     | KeyQuery
     | ManifestPull
     | ManifestPush
-    | EventsAsk
+    | EventsRequest
     | Events
     | GroupOrder
     | GroupReply
--- a/src/amaranthrail/sidecar/peers.py
+++ b/src/amaranthrail/sidecar/peers.py
@@ -19,7 +19,7 @@
     Cancel,
     Dispatch,
     Events,
-    EventsAsk,
+    EventsRequest,
     GroupOrder,
     GroupReply,
     Heartbeat,
@@ -178,7 +178,7 @@
                 self._take_ack(frame)
             case Resume() | AttemptQuery() | KeyQuery() | Cancel():
                 self._take_question(frame)
-            case EventsAsk():
+            case EventsRequest():
                 events = self._runtime.timeline.after(frame.after)
                 self._link.post(Events(frame.request, encode_events(events)))
             case GroupOrder():
