--- a/src/amaranthrail/entry/inflight.py
+++ b/src/amaranthrail/entry/inflight.py
@@ -9,7 +9,7 @@
     Broken,
     Dispatch,
     End,
-    Events,
+    EventsResponse,
     Head,
     KeyQuery,
     Part,
@@ -84,7 +84,7 @@
             return
         exchange.take(frame)
 
-    def take_events(self, frame: Events) -> None:
+    def take_events(self, frame: EventsResponse) -> None:
         """Hand on a peer's time line."""
         waiter = self._waiters.get(frame.request)
         if waiter is not None:
--- a/src/amaranthrail/entry/peers.py
+++ b/src/amaranthrail/entry/peers.py
@@ -29,8 +29,8 @@
     Cancel,
     Dispatch,
     End,
-    Events,
     EventsRequest,
+    EventsResponse,
     Head,
     Heartbeat,
     Hello,
@@ -318,7 +318,7 @@
                 self._in_flight.take(frame)
             case Part():
                 self._in_flight.take(frame)
-            case Events():
+            case EventsResponse():
                 self._in_flight.take_events(frame)
             case _:
                 raise FrameError(f'unexpected {type(frame).__name__}')
--- a/src/amaranthrail/frames.py
+++ b/src/amaranthrail/frames.py
@@ -196,7 +196,7 @@
     after: int
 
 
-class Events(Frame, frozen=True, tag='events'):
+class EventsResponse(Frame, frozen=True, tag='events'):
     """Hand over events as JSON lines."""
 
     request: str
@@ -236,7 +236,7 @@
     | ManifestPull
     | ManifestPush
     | EventsRequest
-    | Events
+    | EventsResponse
     | GroupOrder
     | GroupReply
 )
--- a/src/amaranthrail/sidecar/peers.py
+++ b/src/amaranthrail/sidecar/peers.py
@@ -18,8 +18,8 @@
     Broken,
     Cancel,
     Dispatch,
-    Events,
     EventsRequest,
+    EventsResponse,
     GroupOrder,
     GroupReply,
     Heartbeat,
@@ -180,7 +180,9 @@
                 self._take_question(frame)
             case EventsRequest():
                 events = self._runtime.timeline.after(frame.after)
-                self._link.post(Events(frame.request, encode_events(events)))
+                self._link.post(
+                    EventsResponse(frame.request, encode_events(events))
+                )
             case GroupOrder():
                 nursery.start_soon(self._take_order, frame)
             case _:
