--- a/src/amaranthrail/entry/exchange.py
+++ b/src/amaranthrail/entry/exchange.py
@@ -13,10 +13,10 @@
     Broken,
     Dispatch,
     End,
-    Head,
     KeyQuery,
     Part,
     Refused,
+    ResponseHead,
 )
 from ..outcomes import Reason, Refusal, not_run, unknown
 from ..types import RequestId
@@ -35,7 +35,7 @@
         """Take the request's id and the frame that opened the exchange."""
         self._request = request
         self._opening = opening
-        self._head: Head | None = None
+        self._head: ResponseHead | None = None
         self._parts: deque[bytes] = deque()
         self._received = 0
         self._consumed = 0
@@ -76,10 +76,10 @@
             self._failure = failure
             self._notify()
 
-    def take(self, frame: Head | Part | End | Refused | Broken) -> None:
+    def take(self, frame: ResponseHead | Part | End | Refused | Broken) -> None:
         """Take the next frame of the answer; repeated bytes are dropped."""
         match frame:
-            case Head():
+            case ResponseHead():
                 if self._head is None:
                     self._head = frame
             case Part():
@@ -100,7 +100,7 @@
         self._acked = self._consumed
         return Ack(self._request, self._acked)
 
-    async def wait_head(self) -> Head | Refusal:
+    async def wait_head(self) -> ResponseHead | Refusal:
         """Return the answer's head, or why there is none."""
         while self._head is None and self._failure is None:
             await self._wake.wait()
--- a/src/amaranthrail/entry/forward.py
+++ b/src/amaranthrail/entry/forward.py
@@ -7,7 +7,7 @@
 from ..adapters.httpserver import Reply
 from ..adapters.problem import send_refusal
 from ..clock import move_on_after
-from ..frames import Head
+from ..frames import ResponseHead
 from ..outcomes import Outcome, Reason, Refusal, not_run, unknown
 from ..types import HeaderList
 from .call import Call, Target, make_dispatch
@@ -123,7 +123,7 @@
 async def _relay_stream(
     peer: Peer,
     exchange: Exchange,
-    head: Head,
+    head: ResponseHead,
     call: Call,
     reply: Reply,
 ) -> Refusal | None:
@@ -153,7 +153,7 @@
     return payload, b''
 
 
-def _is_stream(head: Head) -> bool:
+def _is_stream(head: ResponseHead) -> bool:
     return any(
         name == 'content-type' and text.startswith(_STREAM_TYPE)
         for name, text in head.headers
--- a/src/amaranthrail/entry/inflight.py
+++ b/src/amaranthrail/entry/inflight.py
@@ -10,10 +10,10 @@
     Dispatch,
     End,
     EventsResponse,
-    Head,
     KeyQuery,
     Part,
     Refused,
+    ResponseHead,
     Resume,
 )
 from ..metrics import Metrics
@@ -76,7 +76,7 @@
         """Forget who waits for events."""
         self._waiters.pop(request, None)
 
-    def take(self, frame: Head | Part | End | Refused | Broken) -> None:
+    def take(self, frame: ResponseHead | Part | End | Refused | Broken) -> None:
         """Hand on a frame; one for an unknown request is dropped."""
         exchange = self._exchanges.get(frame.request)
         if exchange is None:
--- a/src/amaranthrail/entry/peers.py
+++ b/src/amaranthrail/entry/peers.py
@@ -31,12 +31,12 @@
     End,
     EventsRequest,
     EventsResponse,
-    Head,
     Heartbeat,
     Hello,
     KeyQuery,
     Part,
     Refused,
+    ResponseHead,
     Welcome,
 )
 from ..logs import part_logger
@@ -313,7 +313,7 @@
         if take_shared(link, self._runtime, frame):
             return
         match frame:
-            case Head() | End() | Refused() | Broken():
+            case ResponseHead() | End() | Refused() | Broken():
                 self._runtime.clock.receive(frame.stamp)
                 self._in_flight.take(frame)
             case Part():
--- a/src/amaranthrail/frames.py
+++ b/src/amaranthrail/frames.py
@@ -94,7 +94,7 @@
     intent: str = ''
 
 
-class Head(Frame, frozen=True, tag='head'):
+class ResponseHead(Frame, frozen=True, tag='head'):
     """Begin an answer."""
 
     request: str
@@ -223,7 +223,7 @@
     | Welcome
     | Heartbeat
     | Dispatch
-    | Head
+    | ResponseHead
     | Part
     | End
     | Refused
--- a/src/amaranthrail/sidecar/run.py
+++ b/src/amaranthrail/sidecar/run.py
@@ -9,7 +9,7 @@
 import trio
 import xxhash
 
-from ..frames import Broken, Dispatch, End, Frame, Head, Part, Refused
+from ..frames import Broken, Dispatch, End, Frame, Part, Refused, ResponseHead
 from ..outcomes import Outcome, Refusal
 from ..types import KEY_HEADER, HeaderList, RequestId, qualified_key
 
@@ -177,7 +177,9 @@
             return [_refused(request, stamp, failure)]
         found: list[Frame] = []
         if self._status and not progress.has_head:
-            found.append(Head(request, stamp, self._status, self._headers))
+            found.append(
+                ResponseHead(request, stamp, self._status, self._headers)
+            )
         payload = bytes(self._kept[max(0, progress.sent - self._dropped) :])
         if payload:
             found.append(Part(request, self.length - len(payload), payload))
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -9,7 +9,7 @@
 from amaranthrail.entry.exchange import Exchange
 from amaranthrail.entry.inflight import InFlight
 from amaranthrail.exposition import metrics_text
-from amaranthrail.frames import Broken, End, Head, Part, Refused
+from amaranthrail.frames import Broken, End, Part, Refused, ResponseHead
 from amaranthrail.metrics import Metrics
 from amaranthrail.outcomes import Outcome, Refusal
 from amaranthrail.types import RequestId
@@ -17,7 +17,7 @@
 from . import build
 
 BODY = b'whole answer'
-HEAD = Head('r', 0, 200, ())
+HEAD = ResponseHead('r', 0, 200, ())
 END = End('r', 0, len(BODY), xxhash.xxh3_64_intdigest(BODY))
 
 WHOLE = [
@@ -38,7 +38,7 @@
 ]
 
 
-AnswerFrame = Head | Part | End | Refused | Broken
+AnswerFrame = ResponseHead | Part | End | Refused | Broken
 
 
 def _take(frames: list[AnswerFrame]) -> bytes | Refusal:
