--- a/src/amaranthrail/entry/exchange.py
+++ b/src/amaranthrail/entry/exchange.py
@@ -14,8 +14,8 @@
     Dispatch,
     End,
     KeyQuery,
-    Part,
     Refused,
+    ResponseData,
     ResponseHead,
 )
 from ..outcomes import Reason, Refusal, not_run, unknown
@@ -76,13 +76,15 @@
             self._failure = failure
             self._notify()
 
-    def take(self, frame: ResponseHead | Part | End | Refused | Broken) -> None:
+    def take(
+        self, frame: ResponseHead | ResponseData | End | Refused | Broken
+    ) -> None:
         """Take the next frame of the answer; repeated bytes are dropped."""
         match frame:
             case ResponseHead():
                 if self._head is None:
                     self._head = frame
-            case Part():
+            case ResponseData():
                 self._take_part(frame)
             case End():
                 self._take_end(frame)
@@ -132,7 +134,7 @@
                 return part
             body += part
 
-    def _take_part(self, part: Part) -> None:
+    def _take_part(self, part: ResponseData) -> None:
         if part.offset > self._received:
             gap = f'bytes {self._received} to {part.offset} are missing'
             self.fail(unknown(Reason.UPSTREAM_BROKEN, gap))
--- a/src/amaranthrail/entry/inflight.py
+++ b/src/amaranthrail/entry/inflight.py
@@ -11,8 +11,8 @@
     End,
     EventsResponse,
     KeyQuery,
-    Part,
     Refused,
+    ResponseData,
     ResponseHead,
     Resume,
 )
@@ -76,7 +76,9 @@
         """Forget who waits for events."""
         self._waiters.pop(request, None)
 
-    def take(self, frame: ResponseHead | Part | End | Refused | Broken) -> None:
+    def take(
+        self, frame: ResponseHead | ResponseData | End | Refused | Broken
+    ) -> None:
         """Hand on a frame; one for an unknown request is dropped."""
         exchange = self._exchanges.get(frame.request)
         if exchange is None:
--- a/src/amaranthrail/entry/peers.py
+++ b/src/amaranthrail/entry/peers.py
@@ -34,8 +34,8 @@
     Heartbeat,
     Hello,
     KeyQuery,
-    Part,
     Refused,
+    ResponseData,
     ResponseHead,
     Welcome,
 )
@@ -316,7 +316,7 @@
             case ResponseHead() | End() | Refused() | Broken():
                 self._runtime.clock.receive(frame.stamp)
                 self._in_flight.take(frame)
-            case Part():
+            case ResponseData():
                 self._in_flight.take(frame)
             case EventsResponse():
                 self._in_flight.take_events(frame)
--- a/src/amaranthrail/frames.py
+++ b/src/amaranthrail/frames.py
@@ -103,7 +103,7 @@
     headers: tuple[tuple[str, str], ...]
 
 
-class Part(Frame, frozen=True, tag='part'):
+class ResponseData(Frame, frozen=True, tag='part'):
     """Carry bytes of an answer's body from ``offset`` on."""
 
     request: str
@@ -224,7 +224,7 @@
     | Heartbeat
     | Dispatch
     | ResponseHead
-    | Part
+    | ResponseData
     | End
     | Refused
     | Broken
--- a/src/amaranthrail/sidecar/run.py
+++ b/src/amaranthrail/sidecar/run.py
@@ -9,7 +9,15 @@
 import trio
 import xxhash
 
-from ..frames import Broken, Dispatch, End, Frame, Part, Refused, ResponseHead
+from ..frames import (
+    Broken,
+    Dispatch,
+    End,
+    Frame,
+    Refused,
+    ResponseData,
+    ResponseHead,
+)
 from ..outcomes import Outcome, Refusal
 from ..types import KEY_HEADER, HeaderList, RequestId, qualified_key
 
@@ -182,7 +190,9 @@
             )
         payload = bytes(self._kept[max(0, progress.sent - self._dropped) :])
         if payload:
-            found.append(Part(request, self.length - len(payload), payload))
+            found.append(
+                ResponseData(request, self.length - len(payload), payload)
+            )
         if self._whole:
             digest = self._digest.intdigest()
             found.append(End(request, stamp, self.length, digest))
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -9,7 +9,7 @@
 from amaranthrail.entry.exchange import Exchange
 from amaranthrail.entry.inflight import InFlight
 from amaranthrail.exposition import metrics_text
-from amaranthrail.frames import Broken, End, Part, Refused, ResponseHead
+from amaranthrail.frames import Broken, End, Refused, ResponseData, ResponseHead
 from amaranthrail.metrics import Metrics
 from amaranthrail.outcomes import Outcome, Refusal
 from amaranthrail.types import RequestId
@@ -21,24 +21,36 @@
 END = End('r', 0, len(BODY), xxhash.xxh3_64_intdigest(BODY))
 
 WHOLE = [
-    [HEAD, Part('r', 0, BODY), END],
-    [HEAD, HEAD, Part('r', 0, BODY[:5]), Part('r', 5, BODY[5:]), END],
+    [HEAD, ResponseData('r', 0, BODY), END],
+    [
+        HEAD,
+        HEAD,
+        ResponseData('r', 0, BODY[:5]),
+        ResponseData('r', 5, BODY[5:]),
+        END,
+    ],
     # A resumption sends again what was received before.
-    [HEAD, Part('r', 0, BODY[:7]), Part('r', 3, BODY[3:]), END],
-    [HEAD, Part('r', 0, BODY), Part('r', 0, BODY[:4]), END, END],
-    [HEAD, Part('r', 0, BODY), END, Broken('r', 0, 'upstream-broken')],
+    [HEAD, ResponseData('r', 0, BODY[:7]), ResponseData('r', 3, BODY[3:]), END],
+    [
+        HEAD,
+        ResponseData('r', 0, BODY),
+        ResponseData('r', 0, BODY[:4]),
+        END,
+        END,
+    ],
+    [HEAD, ResponseData('r', 0, BODY), END, Broken('r', 0, 'upstream-broken')],
 ]
 CUT = [
-    [HEAD, Part('r', 0, BODY[:5]), END],
-    [HEAD, Part('r', 0, BODY[:5]), Part('r', 6, BODY[6:]), END],
-    [HEAD, Part('r', 0, bytes(reversed(BODY))), END],
-    [HEAD, Part('r', 0, BODY), Broken('r', 0, 'upstream-broken')],
-    [HEAD, Part('r', 0, BODY), Refused('r', 0, 'voided')],
+    [HEAD, ResponseData('r', 0, BODY[:5]), END],
+    [HEAD, ResponseData('r', 0, BODY[:5]), ResponseData('r', 6, BODY[6:]), END],
+    [HEAD, ResponseData('r', 0, bytes(reversed(BODY))), END],
+    [HEAD, ResponseData('r', 0, BODY), Broken('r', 0, 'upstream-broken')],
+    [HEAD, ResponseData('r', 0, BODY), Refused('r', 0, 'voided')],
     [Broken('r', 0, 'a reason of a later version')],
 ]
 
 
-AnswerFrame = ResponseHead | Part | End | Refused | Broken
+AnswerFrame = ResponseHead | ResponseData | End | Refused | Broken
 
 
 def _take(frames: list[AnswerFrame]) -> bytes | Refusal:
@@ -74,7 +86,7 @@
     other = Exchange(RequestId('other'), build.dispatch('other', 'i'))
     for exchange in (mine, other):
         in_flight.add(exchange)
-    in_flight.take(Part('other', 0, b'not mine'))
-    in_flight.take(Part('earlier', 0, b'nobody'))
+    in_flight.take(ResponseData('other', 0, b'not mine'))
+    in_flight.take(ResponseData('earlier', 0, b'nobody'))
     assert (mine.received, other.received) == (0, len(b'not mine'))
     assert b'amaranthrail_frames_unknown_total 1.0' in metrics_text(metrics)
