--- a/src/amaranthrail/entry/exchange.py
+++ b/src/amaranthrail/entry/exchange.py
@@ -12,10 +12,10 @@
     AttemptQuery,
     Broken,
     Dispatch,
-    End,
     KeyQuery,
     Refused,
     ResponseData,
+    ResponseEnd,
     ResponseHead,
 )
 from ..outcomes import Reason, Refusal, not_run, unknown
@@ -77,7 +77,8 @@
             self._notify()
 
     def take(
-        self, frame: ResponseHead | ResponseData | End | Refused | Broken
+        self,
+        frame: ResponseHead | ResponseData | ResponseEnd | Refused | Broken,
     ) -> None:
         """Take the next frame of the answer; repeated bytes are dropped."""
         match frame:
@@ -86,7 +87,7 @@
                     self._head = frame
             case ResponseData():
                 self._take_part(frame)
-            case End():
+            case ResponseEnd():
                 self._take_end(frame)
             case Refused():
                 self._take_refused(frame)
@@ -145,7 +146,7 @@
             self._received += len(fresh)
             self._parts.append(fresh)
 
-    def _take_end(self, end: End) -> None:
+    def _take_end(self, end: ResponseEnd) -> None:
         same_length = end.length == self._received
         if same_length and end.digest == self._digest.intdigest():
             self._whole = self._failure is None
--- a/src/amaranthrail/entry/inflight.py
+++ b/src/amaranthrail/entry/inflight.py
@@ -8,11 +8,11 @@
     AttemptQuery,
     Broken,
     Dispatch,
-    End,
     EventsResponse,
     KeyQuery,
     Refused,
     ResponseData,
+    ResponseEnd,
     ResponseHead,
     Resume,
 )
@@ -77,7 +77,8 @@
         self._waiters.pop(request, None)
 
     def take(
-        self, frame: ResponseHead | ResponseData | End | Refused | Broken
+        self,
+        frame: ResponseHead | ResponseData | ResponseEnd | Refused | Broken,
     ) -> None:
         """Hand on a frame; one for an unknown request is dropped."""
         exchange = self._exchanges.get(frame.request)
--- a/src/amaranthrail/entry/peers.py
+++ b/src/amaranthrail/entry/peers.py
@@ -28,7 +28,6 @@
     Broken,
     Cancel,
     Dispatch,
-    End,
     EventsRequest,
     EventsResponse,
     Heartbeat,
@@ -36,6 +35,7 @@
     KeyQuery,
     Refused,
     ResponseData,
+    ResponseEnd,
     ResponseHead,
     Welcome,
 )
@@ -313,7 +313,7 @@
         if take_shared(link, self._runtime, frame):
             return
         match frame:
-            case ResponseHead() | End() | Refused() | Broken():
+            case ResponseHead() | ResponseEnd() | Refused() | Broken():
                 self._runtime.clock.receive(frame.stamp)
                 self._in_flight.take(frame)
             case ResponseData():
--- a/src/amaranthrail/frames.py
+++ b/src/amaranthrail/frames.py
@@ -111,7 +111,7 @@
     payload: bytes
 
 
-class End(Frame, frozen=True, tag='end'):
+class ResponseEnd(Frame, frozen=True, tag='end'):
     """Complete an answer: its length and xxh3-64 digest."""
 
     request: str
@@ -225,7 +225,7 @@
     | Dispatch
     | ResponseHead
     | ResponseData
-    | End
+    | ResponseEnd
     | Refused
     | Broken
     | Ack
--- a/src/amaranthrail/sidecar/run.py
+++ b/src/amaranthrail/sidecar/run.py
@@ -12,10 +12,10 @@
 from ..frames import (
     Broken,
     Dispatch,
-    End,
     Frame,
     Refused,
     ResponseData,
+    ResponseEnd,
     ResponseHead,
 )
 from ..outcomes import Outcome, Refusal
@@ -195,7 +195,7 @@
             )
         if self._whole:
             digest = self._digest.intdigest()
-            found.append(End(request, stamp, self.length, digest))
+            found.append(ResponseEnd(request, stamp, self.length, digest))
         if failure is not None:
             found.append(
                 Broken(request, stamp, failure.reason.value, failure.detail),
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -9,7 +9,13 @@
 from amaranthrail.entry.exchange import Exchange
 from amaranthrail.entry.inflight import InFlight
 from amaranthrail.exposition import metrics_text
-from amaranthrail.frames import Broken, End, Refused, ResponseData, ResponseHead
+from amaranthrail.frames import (
+    Broken,
+    Refused,
+    ResponseData,
+    ResponseEnd,
+    ResponseHead,
+)
 from amaranthrail.metrics import Metrics
 from amaranthrail.outcomes import Outcome, Refusal
 from amaranthrail.types import RequestId
@@ -18,7 +24,7 @@
 
 BODY = b'whole answer'
 HEAD = ResponseHead('r', 0, 200, ())
-END = End('r', 0, len(BODY), xxhash.xxh3_64_intdigest(BODY))
+END = ResponseEnd('r', 0, len(BODY), xxhash.xxh3_64_intdigest(BODY))
 
 WHOLE = [
     [HEAD, ResponseData('r', 0, BODY), END],
@@ -50,7 +56,7 @@
 ]
 
 
-AnswerFrame = ResponseHead | ResponseData | End | Refused | Broken
+AnswerFrame = ResponseHead | ResponseData | ResponseEnd | Refused | Broken
 
 
 def _take(frames: list[AnswerFrame]) -> bytes | Refusal:
