--- a/src/amaranthrail/entry/exchange.py
+++ b/src/amaranthrail/entry/exchange.py
@@ -10,8 +10,8 @@
 from ..frames import (
     Ack,
     AttemptQuery,
-    Broken,
     Dispatch,
+    Failed,
     KeyQuery,
     Refused,
     ResponseData,
@@ -78,7 +78,7 @@
 
     def take(
         self,
-        frame: ResponseHead | ResponseData | ResponseEnd | Refused | Broken,
+        frame: ResponseHead | ResponseData | ResponseEnd | Refused | Failed,
     ) -> None:
         """Take the next frame of the answer; repeated bytes are dropped."""
         match frame:
@@ -91,7 +91,7 @@
                 self._take_end(frame)
             case Refused():
                 self._take_refused(frame)
-            case Broken():
+            case Failed():
                 self.fail(unknown(reason_of(frame.reason), frame.detail))
         self._notify()
 
--- a/src/amaranthrail/entry/inflight.py
+++ b/src/amaranthrail/entry/inflight.py
@@ -6,9 +6,9 @@
 
 from ..frames import (
     AttemptQuery,
-    Broken,
     Dispatch,
     EventsResponse,
+    Failed,
     KeyQuery,
     Refused,
     ResponseData,
@@ -78,7 +78,7 @@
 
     def take(
         self,
-        frame: ResponseHead | ResponseData | ResponseEnd | Refused | Broken,
+        frame: ResponseHead | ResponseData | ResponseEnd | Refused | Failed,
     ) -> None:
         """Hand on a frame; one for an unknown request is dropped."""
         exchange = self._exchanges.get(frame.request)
--- a/src/amaranthrail/entry/peers.py
+++ b/src/amaranthrail/entry/peers.py
@@ -25,11 +25,11 @@
     Ack,
     AnyFrame,
     AttemptQuery,
-    Broken,
     Cancel,
     Dispatch,
     EventsRequest,
     EventsResponse,
+    Failed,
     Heartbeat,
     Hello,
     KeyQuery,
@@ -313,7 +313,7 @@
         if take_shared(link, self._runtime, frame):
             return
         match frame:
-            case ResponseHead() | ResponseEnd() | Refused() | Broken():
+            case ResponseHead() | ResponseEnd() | Refused() | Failed():
                 self._runtime.clock.receive(frame.stamp)
                 self._in_flight.take(frame)
             case ResponseData():
--- a/src/amaranthrail/frames.py
+++ b/src/amaranthrail/frames.py
@@ -130,7 +130,7 @@
     retry_after_ms: int = 0
 
 
-class Broken(Frame, frozen=True, tag='broken'):
+class Failed(Frame, frozen=True, tag='broken'):
     """Say that a request started and its whole answer cannot be had."""
 
     request: str
@@ -227,7 +227,7 @@
     | ResponseData
     | ResponseEnd
     | Refused
-    | Broken
+    | Failed
     | Ack
     | Resume
     | Cancel
--- a/src/amaranthrail/sidecar/peers.py
+++ b/src/amaranthrail/sidecar/peers.py
@@ -15,11 +15,11 @@
     Ack,
     AnyFrame,
     AttemptQuery,
-    Broken,
     Cancel,
     Dispatch,
     EventsRequest,
     EventsResponse,
+    Failed,
     GroupOrder,
     GroupReply,
     Heartbeat,
@@ -220,7 +220,7 @@
             # What an earlier incarnation ran cannot be known here.
             stamp = self._runtime.clock.stamp()
             reason = Reason.WRONG_INCARNATION.value
-            self._link.post(Broken(inquiry.request, stamp, reason))
+            self._link.post(Failed(inquiry.request, stamp, reason))
             return
         run = self._office.gate.inquire(inquiry.intent)
         progress = Progress(inquiry.received)
--- a/src/amaranthrail/sidecar/run.py
+++ b/src/amaranthrail/sidecar/run.py
@@ -10,8 +10,8 @@
 import xxhash
 
 from ..frames import (
-    Broken,
     Dispatch,
+    Failed,
     Frame,
     Refused,
     ResponseData,
@@ -198,7 +198,7 @@
             found.append(ResponseEnd(request, stamp, self.length, digest))
         if failure is not None:
             found.append(
-                Broken(request, stamp, failure.reason.value, failure.detail),
+                Failed(request, stamp, failure.reason.value, failure.detail),
             )
         return found
 
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -10,7 +10,7 @@
 from amaranthrail.entry.inflight import InFlight
 from amaranthrail.exposition import metrics_text
 from amaranthrail.frames import (
-    Broken,
+    Failed,
     Refused,
     ResponseData,
     ResponseEnd,
@@ -44,19 +44,19 @@
         END,
         END,
     ],
-    [HEAD, ResponseData('r', 0, BODY), END, Broken('r', 0, 'upstream-broken')],
+    [HEAD, ResponseData('r', 0, BODY), END, Failed('r', 0, 'upstream-broken')],
 ]
 CUT = [
     [HEAD, ResponseData('r', 0, BODY[:5]), END],
     [HEAD, ResponseData('r', 0, BODY[:5]), ResponseData('r', 6, BODY[6:]), END],
     [HEAD, ResponseData('r', 0, bytes(reversed(BODY))), END],
-    [HEAD, ResponseData('r', 0, BODY), Broken('r', 0, 'upstream-broken')],
+    [HEAD, ResponseData('r', 0, BODY), Failed('r', 0, 'upstream-broken')],
     [HEAD, ResponseData('r', 0, BODY), Refused('r', 0, 'voided')],
-    [Broken('r', 0, 'a reason of a later version')],
+    [Failed('r', 0, 'a reason of a later version')],
 ]
 
 
-AnswerFrame = ResponseHead | ResponseData | ResponseEnd | Refused | Broken
+AnswerFrame = ResponseHead | ResponseData | ResponseEnd | Refused | Failed
 
 
 def _take(frames: list[AnswerFrame]) -> bytes | Refusal:
