--- a/src/amaranthrail/entry/administration.py
+++ b/src/amaranthrail/entry/administration.py
@@ -162,7 +162,7 @@
         )
 
     async def _timeline(self, _request: HttpRequest, reply: Reply) -> None:
-        sources = [self._runtime.timeline.after(0)]
+        sources = [self._runtime.timeline.events_after(0)]
         async with trio.open_nursery() as nursery:
             for peer in self._core.roster.peers:
                 nursery.start_soon(_gather_events, peer, sources)
--- a/src/amaranthrail/sidecar/peers.py
+++ b/src/amaranthrail/sidecar/peers.py
@@ -179,7 +179,7 @@
             case Resume() | AttemptQuery() | KeyQuery() | Cancel():
                 self._take_question(frame)
             case EventsRequest():
-                events = self._runtime.timeline.after(frame.after)
+                events = self._runtime.timeline.events_after(frame.after)
                 self._link.post(
                     EventsResponse(frame.request, encode_events(events))
                 )
--- a/src/amaranthrail/timeline.py
+++ b/src/amaranthrail/timeline.py
@@ -59,7 +59,7 @@
             ),
         )
 
-    def after(self, sequence: int) -> list[Event]:
+    def events_after(self, sequence: int) -> list[Event]:
         """Return the kept events above a sequence number."""
         return [event for event in self._events if event.sequence > sequence]
 
