--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -12,7 +12,7 @@
 from ..adapters.httpserver import Reply
 from ..adapters.problem import send_refusal
 from ..clock import Clock, move_on_after
-from ..outcomes import Reason, Refusal, not_run, unknown
+from ..outcomes import Reason, Refusal, not_run, unknown_outcome
 from ..policy.crest import Crest, StreamWish, begins
 from ..policy.placement import UpstreamView, place
 from ..policy.returns import return_after, return_later
@@ -214,7 +214,7 @@
         if failed is not None:
             cause = failed.cause
         if call.may_have_run:
-            return unknown(Reason.UPSTREAM_BROKEN, cause)
+            return unknown_outcome(Reason.UPSTREAM_BROKEN, cause)
         if call.crest is not None and not call.choices:
             left_ms = call.deadline - self._clock.now()
             return not_run(
@@ -236,5 +236,5 @@
 def _expired(call: Call) -> Refusal:
     detail = 'no answer before the deadline'
     if call.may_have_run:
-        return unknown(Reason.EXPIRED, detail)
+        return unknown_outcome(Reason.EXPIRED, detail)
     return not_run(Reason.EXPIRED, detail)
--- a/src/amaranthrail/entry/conclusions.py
+++ b/src/amaranthrail/entry/conclusions.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..adapters.httpclient import HttpAnswer
-from ..outcomes import Outcome, Reason, Refusal, not_run, unknown
+from ..outcomes import Outcome, Reason, Refusal, not_run, unknown_outcome
 from ..records import AttemptState, Conclusion, Intent
 from ..runtime import Runtime
 from ..types import IdempotencyKey
@@ -80,7 +80,7 @@
     """Return the answer that the record holds for a key."""
     conclusion = filing.conclusion
     if filing.resolution is not None:
-        return unknown(
+        return unknown_outcome(
             Reason.KEY_LOST,
             f'resolved as {filing.state.value} by {filing.resolution.author}',
         )
@@ -94,7 +94,7 @@
             conclusion.headers,
             conclusion.body,
         )
-    return unknown(Reason.KEY_LOST, 'an operator must resolve this key')
+    return unknown_outcome(Reason.KEY_LOST, 'an operator must resolve this key')
 
 
 def key_reused(key: IdempotencyKey) -> Refusal:
--- a/src/amaranthrail/entry/exchange.py
+++ b/src/amaranthrail/entry/exchange.py
@@ -18,7 +18,7 @@
     ResponseEnd,
     ResponseHead,
 )
-from ..outcomes import Reason, Refusal, not_run, unknown
+from ..outcomes import Reason, Refusal, not_run, unknown_outcome
 from ..types import RequestId
 
 #: The sidecar sends at most this far past the last acknowledged byte.
@@ -92,7 +92,9 @@
             case Refused():
                 self._take_refused(frame)
             case Failed():
-                self.fail(unknown(reason_of(frame.reason), frame.detail))
+                self.fail(
+                    unknown_outcome(reason_of(frame.reason), frame.detail)
+                )
         self._notify()
 
     def ack(self) -> Ack | None:
@@ -108,7 +110,7 @@
         while self._head is None and self._failure is None:
             await self._wake.wait()
         if self._head is None:
-            return self._failure or unknown(Reason.PEER_GONE)
+            return self._failure or unknown_outcome(Reason.PEER_GONE)
         return self._head
 
     async def next_part(self) -> bytes | Refusal | None:
@@ -138,7 +140,7 @@
     def _take_part(self, part: ResponseData) -> None:
         if part.offset > self._received:
             gap = f'bytes {self._received} to {part.offset} are missing'
-            self.fail(unknown(Reason.UPSTREAM_BROKEN, gap))
+            self.fail(unknown_outcome(Reason.UPSTREAM_BROKEN, gap))
             return
         fresh = part.payload[self._received - part.offset :]
         if fresh:
@@ -151,11 +153,15 @@
         if same_length and end.digest == self._digest.intdigest():
             self._whole = self._failure is None
             return
-        self.fail(unknown(Reason.UPSTREAM_BROKEN, 'length or digest differs'))
+        self.fail(
+            unknown_outcome(Reason.UPSTREAM_BROKEN, 'length or digest differs')
+        )
 
     def _take_refused(self, refused: Refused) -> None:
         if self._head is not None:
-            self.fail(unknown(Reason.UPSTREAM_BROKEN, 'refused after start'))
+            self.fail(
+                unknown_outcome(Reason.UPSTREAM_BROKEN, 'refused after start')
+            )
             return
         self.fail(
             not_run(
--- a/src/amaranthrail/entry/filings.py
+++ b/src/amaranthrail/entry/filings.py
@@ -10,7 +10,7 @@
 import trio
 
 from ..clock import MS_PER_SECOND, move_on_after, sleep
-from ..outcomes import Outcome, Reason, Refusal, not_run, unknown
+from ..outcomes import Outcome, Reason, Refusal, not_run, unknown_outcome
 from ..records import AttemptState, Intent, Resolution
 from ..types import IdempotencyKey
 from .call import Call, Target, make_dispatch
@@ -85,7 +85,9 @@
             with move_on_after(call.left_ms(self._runtime.clock)):
                 await job.done.wait()
             if not job.done.is_set():
-                return unknown(Reason.STILL_RUNNING, 'ask again with this key')
+                return unknown_outcome(
+                    Reason.STILL_RUNNING, 'ask again with this key'
+                )
             if not _ended_early(job, call):
                 return job.answer
 
@@ -98,7 +100,7 @@
                 key = IdempotencyKey(filing.intent.key)
                 overdue = self._settlement.is_overdue(filing)
                 if overdue and key not in self._jobs:
-                    unsure = unknown(Reason.STILL_RUNNING)
+                    unsure = unknown_outcome(Reason.STILL_RUNNING)
                     job = _Job(filing.intent.digest, trio.Event(), unsure)
                     self._jobs[key] = job
                     self._nursery.start_soon(self._settle_overdue, key, job)
@@ -209,7 +211,7 @@
             return await self._settlement.settle(intent)
         filing = self._ledger.find(key)
         if filing is None:
-            return unknown(Reason.KEY_LOST, 'the record has expired')
+            return unknown_outcome(Reason.KEY_LOST, 'the record has expired')
         return recorded_answer(filing)
 
     async def _attempt(
--- a/src/amaranthrail/entry/forward.py
+++ b/src/amaranthrail/entry/forward.py
@@ -8,7 +8,7 @@
 from ..adapters.problem import send_refusal
 from ..clock import move_on_after
 from ..frames import ResponseHead
-from ..outcomes import Outcome, Reason, Refusal, not_run, unknown
+from ..outcomes import Outcome, Reason, Refusal, not_run, unknown_outcome
 from ..types import HeaderList
 from .call import Call, Target, make_dispatch
 from .core import EntryCore
@@ -86,7 +86,9 @@
     finally:
         peer.close(exchange, cancel=True)
     if expired:
-        return unknown(Reason.EXPIRED, 'no whole answer by the deadline')
+        return unknown_outcome(
+            Reason.EXPIRED, 'no whole answer by the deadline'
+        )
     return failure
 
 
--- a/src/amaranthrail/entry/inquiries.py
+++ b/src/amaranthrail/entry/inquiries.py
@@ -6,7 +6,7 @@
 
 from ..adapters.httpclient import HttpAnswer
 from ..clock import move_on_after
-from ..outcomes import Outcome, Reason, Refusal, unknown
+from ..outcomes import Outcome, Reason, Refusal, unknown_outcome
 from ..records import Intent
 from .call import Call
 from .conclusions import Answer
@@ -31,7 +31,7 @@
         bound_ms: float,
     ) -> Answer:
         """Return the whole answer of an exchange, or why there is none."""
-        answer: Answer = unknown(Reason.PEER_GONE, 'no answer in time')
+        answer: Answer = unknown_outcome(Reason.PEER_GONE, 'no answer in time')
         try:
             with move_on_after(bound_ms):
                 answer = await _read_answer(exchange)
--- a/src/amaranthrail/entry/peers.py
+++ b/src/amaranthrail/entry/peers.py
@@ -40,7 +40,7 @@
     Welcome,
 )
 from ..logs import part_logger
-from ..outcomes import Reason, unknown
+from ..outcomes import Reason, unknown_outcome
 from ..policy.pick import Candidate
 from ..ports import HostRecord, HostState
 from ..runtime import Runtime
@@ -325,7 +325,7 @@
 
     def _open(self, exchange: Exchange) -> None:
         if self._link is None:
-            exchange.fail(unknown(Reason.PEER_GONE, 'not connected'))
+            exchange.fail(unknown_outcome(Reason.PEER_GONE, 'not connected'))
             return
         self._in_flight.add(exchange)
         self._link.post(exchange.opening)
@@ -349,4 +349,4 @@
 
     def _fail_all(self) -> None:
         detail = f'sidecar of {self.name} is gone'
-        self._in_flight.fail_all(unknown(Reason.PEER_GONE, detail))
+        self._in_flight.fail_all(unknown_outcome(Reason.PEER_GONE, detail))
--- a/src/amaranthrail/entry/settlement.py
+++ b/src/amaranthrail/entry/settlement.py
@@ -5,7 +5,7 @@
 from ..adapters.httpclient import HttpAnswer
 from ..clock import MS_PER_SECOND, move_on_after, sleep
 from ..logs import part_logger
-from ..outcomes import Outcome, Reason, not_run, unknown
+from ..outcomes import Outcome, Reason, not_run, unknown_outcome
 from ..policy.pick import rendezvous
 from ..records import AttemptState, Intent
 from ..types import IdempotencyKey
@@ -84,7 +84,7 @@
             await sleep(_ASK_AGAIN_MS)
         self._conclusions.lost(intent, 'sidecar gone')
         _log.warning('filing lost', key=intent.key, upstream=intent.upstream)
-        return unknown(
+        return unknown_outcome(
             Reason.PEER_GONE,
             f'{intent.upstream} ended before it told the outcome',
         )
--- a/src/amaranthrail/outcomes.py
+++ b/src/amaranthrail/outcomes.py
@@ -88,6 +88,6 @@
     return Refusal(Outcome.NOT_RUN, reason, detail, retry_after_ms)
 
 
-def unknown(reason: Reason, detail: str = '') -> Refusal:
+def unknown_outcome(reason: Reason, detail: str = '') -> Refusal:
     """Return the refusal of work that may have run."""
     return Refusal(Outcome.UNKNOWN, reason, detail)
--- a/src/amaranthrail/sidecar/worker.py
+++ b/src/amaranthrail/sidecar/worker.py
@@ -10,7 +10,7 @@
 from ..clock import MS_PER_SECOND, move_on_after
 from ..exceptions import HttpError
 from ..logs import part_logger
-from ..outcomes import Reason, Refusal, not_run, unknown
+from ..outcomes import Reason, Refusal, not_run, unknown_outcome
 from ..policy.queueing import Waiting
 from ..runtime import Runtime
 from ..types import HeaderList
@@ -125,7 +125,7 @@
                     detail = f'over {MAX_KEYED_BYTES} bytes'
                     self._fail(
                         run,
-                        unknown(Reason.ANSWER_TOO_LARGE, detail),
+                        unknown_outcome(Reason.ANSWER_TOO_LARGE, detail),
                     )
                     return
                 await run.wait_window()
@@ -161,14 +161,16 @@
 
 def _refusal_of(error: HttpError) -> Refusal:
     if error.sent:
-        return unknown(Reason.UPSTREAM_BROKEN, str(error))
+        return unknown_outcome(Reason.UPSTREAM_BROKEN, str(error))
     return not_run(Reason.UPSTREAM_UNREACHABLE, str(error))
 
 
 def _cut_short(run: Run) -> Refusal:
     """Return what became of a run that was cancelled or ran out of time."""
     if run.started:
-        return unknown(Reason.EXPIRED, 'the upstream did not finish in time')
+        return unknown_outcome(
+            Reason.EXPIRED, 'the upstream did not finish in time'
+        )
     return not_run(Reason.EXPIRED, 'the deadline passed before the start')
 
 
