--- a/src/amaranthrail/configsync.py
+++ b/src/amaranthrail/configsync.py
@@ -85,7 +85,7 @@
         await sleep(interval_ms)
 
 
-def take_shared(link: Link, runtime: Runtime, frame: AnyFrame) -> bool:
+def handle_config_frame(link: Link, runtime: Runtime, frame: AnyFrame) -> bool:
     """Take a frame that spreads the configuration; tell whether it was one."""
     match frame:
         case Heartbeat():
--- a/src/amaranthrail/entry/peers.py
+++ b/src/amaranthrail/entry/peers.py
@@ -19,7 +19,7 @@
     greet,
 )
 from ..clock import move_on_after, sleep
-from ..configsync import exchange_frames, plain_heartbeat, take_shared
+from ..configsync import exchange_frames, handle_config_frame, plain_heartbeat
 from ..exceptions import FrameError
 from ..frames import (
     Ack,
@@ -310,7 +310,7 @@
         if isinstance(frame, Heartbeat):
             self._load = frame
             self._tracker.hear(frame)
-        if take_shared(link, self._runtime, frame):
+        if handle_config_frame(link, self._runtime, frame):
             return
         match frame:
             case ResponseHead() | ResponseEnd() | Refused() | Failed():
--- a/src/amaranthrail/sidecar/peers.py
+++ b/src/amaranthrail/sidecar/peers.py
@@ -9,7 +9,7 @@
 
 from ..adapters.link import HANDSHAKE_TIMEOUT_S, Link, LinkClosedError, admit
 from ..clock import sleep
-from ..configsync import take_shared
+from ..configsync import handle_config_frame
 from ..exceptions import FrameError
 from ..frames import (
     Ack,
@@ -168,7 +168,7 @@
         )
 
     def _take(self, frame: AnyFrame, nursery: trio.Nursery) -> None:
-        if take_shared(self._link, self._runtime, frame):
+        if handle_config_frame(self._link, self._runtime, frame):
             return
         match frame:
             case Dispatch():
--- a/src/amaranthrail/sidecar/ranklink.py
+++ b/src/amaranthrail/sidecar/ranklink.py
@@ -13,7 +13,7 @@
 from ..adapters.httpclient import Address
 from ..adapters.link import HANDSHAKE_TIMEOUT_S, Link, LinkClosedError, greet
 from ..clock import move_on_after, sleep
-from ..configsync import exchange_frames, take_shared
+from ..configsync import exchange_frames, handle_config_frame
 from ..exceptions import FrameError
 from ..frames import AnyFrame, GroupOrder, GroupReply, Hello
 from ..orders import AnyOrder, AnyReply, decode_reply, encode_order
@@ -110,7 +110,7 @@
         )
 
     def _take(self, link: Link, frame: AnyFrame) -> None:
-        if take_shared(link, self._runtime, frame):
+        if handle_config_frame(link, self._runtime, frame):
             return
         if not isinstance(frame, GroupReply):
             raise FrameError(f'unexpected {type(frame).__name__}')
