--- a/src/amaranthrail/configsync.py
+++ b/src/amaranthrail/configsync.py
@@ -26,7 +26,7 @@
     )
 
 
-def plain_heartbeat(runtime: Runtime) -> Heartbeat:
+def heartbeat_without_load(runtime: Runtime) -> Heartbeat:
     """Return a heartbeat that tells versions and no load."""
     configuration = runtime.configuration
     return Heartbeat(
@@ -81,7 +81,7 @@
 
 async def _beat(link: Link, runtime: Runtime, interval_ms: float) -> None:
     while True:
-        link.post(plain_heartbeat(runtime))
+        link.post(heartbeat_without_load(runtime))
         await sleep(interval_ms)
 
 
--- a/src/amaranthrail/entry/peers.py
+++ b/src/amaranthrail/entry/peers.py
@@ -19,7 +19,11 @@
     greet,
 )
 from ..clock import move_on_after, sleep
-from ..configsync import exchange_frames, handle_config_frame, plain_heartbeat
+from ..configsync import (
+    exchange_frames,
+    handle_config_frame,
+    heartbeat_without_load,
+)
 from ..exceptions import FrameError
 from ..frames import (
     Ack,
@@ -209,7 +213,7 @@
     def announce(self) -> None:
         """Tell the versions in force now rather than at the next beat."""
         if self._link is not None:
-            self._link.post(plain_heartbeat(self._runtime))
+            self._link.post(heartbeat_without_load(self._runtime))
 
     async def events(self, timeout_ms: float) -> list[Event]:
         """Return the sidecar's time line, empty where it does not answer."""
