--- a/src/amaranthrail/configuration.py
+++ b/src/amaranthrail/configuration.py
@@ -87,7 +87,7 @@
         return max((offset for offset, _ in self._drains.values()), default=0)
 
     @property
-    def skipped(self) -> int:
+    def skipped_records(self) -> int:
         """Return how many log records could not be read."""
         return self._skipped
 
--- a/src/amaranthrail/entry/administration.py
+++ b/src/amaranthrail/entry/administration.py
@@ -145,7 +145,8 @@
                 'log_reachable': self._control.reachable
                 and core.shards.reachable,
                 'host_list_reachable': core.roster.reachable,
-                'records_skipped': configuration.skipped + ledger.skipped,
+                'records_skipped': configuration.skipped_records
+                + ledger.skipped,
                 'contradictions': ledger.contradictions,
                 'filings': {
                     'known': ledger.size,
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -88,7 +88,7 @@
     log.put(CONTROL_STREAM, encode_record(snapshot))
     reader = Configuration()
     _read(log, reader)
-    assert (reader.version, reader.skipped) == (0, 1)
+    assert (reader.version, reader.skipped_records) == (0, 1)
 
 
 def test_drains_follow_the_latest_word() -> None:
