--- a/src/amaranthrail/entry/administration.py
+++ b/src/amaranthrail/entry/administration.py
@@ -289,7 +289,7 @@
         'connected': peer.connected,
         'takes_work': peer.takes_work,
         'draining': configuration.is_draining(peer.name),
-        'leaving': load is not None and load.leaving,
+        'leaving': load is not None and load.shutting_down,
         'queued': 0 if load is None else load.queued,
         'running': 0 if load is None else load.running,
         'work_ms': 0 if load is None else load.short_ms + load.long_ms,
--- a/src/amaranthrail/entry/peers.py
+++ b/src/amaranthrail/entry/peers.py
@@ -140,7 +140,7 @@
         """Tell whether new work may go there, by any word there is."""
         if self._load is None or self._link is None:
             return False
-        if self._load.leaving or self._record.state is HostState.LEAVING:
+        if self._load.shutting_down or self._record.state is HostState.LEAVING:
             return False
         return not self._runtime.configuration.is_draining(self.name)
 
--- a/src/amaranthrail/frames.py
+++ b/src/amaranthrail/frames.py
@@ -67,7 +67,7 @@
     long_count: int = 0
     long_ms: float = 0
     slots: int = 0
-    leaving: bool = False
+    shutting_down: bool = False
 
 
 class Dispatch(Frame, frozen=True, tag='dispatch'):
