--- a/src/amaranthrail/frames.py
+++ b/src/amaranthrail/frames.py
@@ -59,7 +59,7 @@
     stamp: int
     clock: float
     manifest: int
-    drains: int
+    drains_version: int
     queued: int = 0
     running: int = 0
     short_count: int = 0
--- a/tests/build.py
+++ b/tests/build.py
@@ -84,5 +84,5 @@
 def make_heartbeat(**told: Any) -> Heartbeat:
     """Return a sidecar's heartbeat that tells a load."""
     return Heartbeat(
-        **{'stamp': 0, 'clock': 0.0, 'manifest': 1, 'drains': 0, **told}
+        **{'stamp': 0, 'clock': 0.0, 'manifest': 1, 'drains_version': 0, **told}
     )
