--- a/src/amaranthrail/configsync.py
+++ b/src/amaranthrail/configsync.py
@@ -43,7 +43,7 @@
     Nothing is sent unasked: a manifest can be megabytes, and a process hears
     of a change from all its peers at once but needs it from one.
     """
-    if runtime.pulls.should_pull(heard.manifest, heard.drains_version):
+    if runtime.pulls.should_pull(heard.manifest_version, heard.drains_version):
         link.post(ManifestPull())
 
 
--- a/src/amaranthrail/entry/administration.py
+++ b/src/amaranthrail/entry/administration.py
@@ -293,7 +293,7 @@
         'queued': 0 if load is None else load.queued,
         'running': 0 if load is None else load.running,
         'work_ms': 0 if load is None else load.short_ms + load.long_ms,
-        'manifest_version': 0 if load is None else load.manifest,
+        'manifest_version': 0 if load is None else load.manifest_version,
     }
 
 
--- a/src/amaranthrail/entry/call.py
+++ b/src/amaranthrail/entry/call.py
@@ -91,7 +91,7 @@
         incarnation=target.incarnation,
         stamp=clock.stamp(),
         clock=sidecar_clock,
-        manifest=target.manifest,
+        manifest_version=target.manifest,
         organisation=call.organisation.name,
         method=call.request.method,
         target=call.request.target,
--- a/src/amaranthrail/frames.py
+++ b/src/amaranthrail/frames.py
@@ -58,7 +58,7 @@
 
     stamp: int
     clock: float
-    manifest: int
+    manifest_version: int
     drains_version: int
     queued: int = 0
     running: int = 0
@@ -82,7 +82,7 @@
     incarnation: str
     stamp: int
     clock: float
-    manifest: int
+    manifest_version: int
     organisation: str
     method: str
     target: str
--- a/src/amaranthrail/sidecar/gate.py
+++ b/src/amaranthrail/sidecar/gate.py
@@ -143,7 +143,7 @@
                 Reason.STALE_DISPATCH,
                 f'sent on a heartbeat {age_ms:.0f} ms old',
             )
-        if dispatch.manifest < self._configuration.version:
+        if dispatch.manifest_version < self._configuration.version:
             return not_run(
                 Reason.STALE_MANIFEST,
                 f'version {self._configuration.version} is in force',
--- a/tests/build.py
+++ b/tests/build.py
@@ -69,7 +69,7 @@
         'incarnation': incarnation,
         'stamp': 0,
         'clock': 0.0,
-        'manifest': 0,
+        'manifest_version': 0,
         'organisation': 'o',
         'method': 'POST',
         'target': '/',
@@ -84,5 +84,11 @@
 def make_heartbeat(**told: Any) -> Heartbeat:
     """Return a sidecar's heartbeat that tells a load."""
     return Heartbeat(
-        **{'stamp': 0, 'clock': 0.0, 'manifest': 1, 'drains_version': 0, **told}
+        **{
+            'stamp': 0,
+            'clock': 0.0,
+            'manifest_version': 1,
+            'drains_version': 0,
+            **told,
+        }
     )
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -104,7 +104,7 @@
         incarnation='0123456789ab',
         stamp=2**60,
         clock=1.0,
-        manifest=123_456,
+        manifest_version=123_456,
         organisation='organisation-01',
         method='POST',
         target='/v1/chat/completions',
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -72,7 +72,9 @@
     after_ms: float,
 ) -> None:
     scene = Scene()
-    sent = build.dispatch('r', 'i', clock=scene.now_ms, intent='n', manifest=3)
+    sent = build.dispatch(
+        'r', 'i', clock=scene.now_ms, intent='n', manifest_version=3
+    )
     cause(scene)
     refused = scene.gate.check(sent)
     assert isinstance(refused, Refusal)
