--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -13,9 +13,9 @@
 from amaranthrail.entry.ledger import Ledger
 from amaranthrail.ports import LogEntry
 from amaranthrail.records import (
+    AttemptState,
     Conclusion,
-    FilingBatch,
-    FilingState,
+    FactBatch,
     Intent,
     encode_record,
 )
@@ -203,10 +203,10 @@
             Conclusion(
                 key=key,
                 intent=f'{number:032x}',
-                state=FilingState.RAN,
+                state=AttemptState.RAN,
                 status=200,
                 headers=(('content-type', 'application/json'),),
                 body=ANSWER,
             ),
         )
-    return encode_record(FilingBatch(id=f'{start:032x}', facts=tuple(facts)))
+    return encode_record(FactBatch(id=f'{start:032x}', facts=tuple(facts)))
--- a/src/amaranthrail/api.py
+++ b/src/amaranthrail/api.py
@@ -14,9 +14,9 @@
 from .adapters.httpclient import HttpAnswer, HttpClient, parse_address
 from .adapters.platform import HttpLog
 from .clock import move_on_after
-from .configuration import Configuration, Verdict
+from .configuration import Configuration, PublishResult
+from .consumer import StreamConsumer
 from .exceptions import AmaranthrailError, HttpError
-from .follower import Follower
 from .publish import new_change, publish_manifest
 from .records import CONTROL_STREAM
 from .timeline import Event, decode_events, merge_events
@@ -195,8 +195,8 @@
     """Propose a manifest straight to the log, with no entry running."""
     log = HttpLog(parse_address(platform))
     configuration = Configuration()
-    follower = Follower(log, CONTROL_STREAM, configuration.apply)
-    verdict: Verdict | None = None
+    follower = StreamConsumer(log, CONTROL_STREAM, configuration.apply)
+    verdict: PublishResult | None = None
     change = ''
     with move_on_after(timeout_ms):
         async with trio.open_nursery() as nursery:
--- a/src/amaranthrail/spread.py
+++ b/src/amaranthrail/configsync.py
@@ -26,7 +26,7 @@
     )
 
 
-def plain_heartbeat(runtime: Runtime) -> Heartbeat:
+def heartbeat_without_load(runtime: Runtime) -> Heartbeat:
     """Return a heartbeat that tells versions and no load."""
     configuration = runtime.configuration
     return Heartbeat(
@@ -43,7 +43,7 @@
     Nothing is sent unasked: a manifest can be megabytes, and a process hears
     of a change from all its peers at once but needs it from one.
     """
-    if runtime.pulls.wants(heard.manifest, heard.drains):
+    if runtime.pulls.should_pull(heard.manifest_version, heard.drains_version):
         link.post(ManifestPull())
 
 
@@ -81,11 +81,11 @@
 
 async def _beat(link: Link, runtime: Runtime, interval_ms: float) -> None:
     while True:
-        link.post(plain_heartbeat(runtime))
+        link.post(heartbeat_without_load(runtime))
         await sleep(interval_ms)
 
 
-def take_shared(link: Link, runtime: Runtime, frame: AnyFrame) -> bool:
+def handle_config_frame(link: Link, runtime: Runtime, frame: AnyFrame) -> bool:
     """Take a frame that spreads the configuration; tell whether it was one."""
     match frame:
         case Heartbeat():
--- a/src/amaranthrail/configuration.py
+++ b/src/amaranthrail/configuration.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class InForce:
+class ActiveManifest:
     """Hold the accepted manifest that is in force here."""
 
     version: Version
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class PublishResult:
     """Say what version is in force after a change, and why it is not it."""
 
     version: Version
@@ -56,18 +56,18 @@
 
     def __init__(self) -> None:
         """Start with nothing in force."""
-        self._in_force: InForce | None = None
+        self._in_force: ActiveManifest | None = None
         self._read_version: Version | None = None
         self._read_anything = False
         self._drains: dict[str, tuple[int, bool]] = {}
-        self._verdicts: dict[str, Verdict] = {}
+        self._verdicts: dict[str, PublishResult] = {}
         self._changed = trio.Event()
         self._skipped = 0
-        self._listeners: list[Callable[[InForce], None]] = []
+        self._listeners: list[Callable[[ActiveManifest], None]] = []
         self._snapshot_at = 0
 
     @property
-    def in_force(self) -> InForce | None:
+    def in_force(self) -> ActiveManifest | None:
         """Return what is in force here, if anything is."""
         return self._in_force
 
@@ -87,16 +87,16 @@
         return max((offset for offset, _ in self._drains.values()), default=0)
 
     @property
-    def skipped(self) -> int:
+    def skipped_records(self) -> int:
         """Return how many log records could not be read."""
         return self._skipped
 
     @property
-    def kept_since(self) -> int:
+    def last_stored_at(self) -> int:
         """Return when the log took its youngest copy of what is in force."""
         return self._snapshot_at
 
-    def on_change(self, listener: Callable[[InForce], None]) -> None:
+    def on_change(self, listener: Callable[[ActiveManifest], None]) -> None:
         """Call a function with each configuration that comes into force."""
         self._listeners.append(listener)
 
@@ -104,7 +104,7 @@
         """Tell whether an operator drains an upstream."""
         return self._drains.get(upstream, (0, False))[1]
 
-    def verdict(self, record_id: str) -> Verdict | None:
+    def publish_result(self, record_id: str) -> PublishResult | None:
         """Return what became of a change, once it has been read."""
         return self._verdicts.get(record_id)
 
@@ -122,7 +122,7 @@
         newer = self._adopt_drains(drains)
         if version > self.version:
             manifest = parse_manifest(text)
-            self._put_in_force(InForce(Version(version), text, manifest))
+            self._put_in_force(ActiveManifest(Version(version), text, manifest))
             newer = True
         if newer:
             self._notify()
@@ -170,17 +170,17 @@
         current = self._read_version
         if record.base != current:
             reason = f'made from version {record.base}, {current} is in force'
-            self._verdicts[record.id] = Verdict(current, reason)
+            self._verdicts[record.id] = PublishResult(current, reason)
             return
         text = bytes(record.manifest)
         try:
             manifest = parse_manifest(text)
         except ManifestError as error:
-            self._verdicts[record.id] = Verdict(current, str(error))
+            self._verdicts[record.id] = PublishResult(current, str(error))
             return
         version = Version(entry.offset)
         self._read_version = version
-        self._verdicts[record.id] = Verdict(version)
+        self._verdicts[record.id] = PublishResult(version)
         self._take_read(version, text, manifest, entry)
 
     def _apply_snapshot(
@@ -213,9 +213,9 @@
         if version >= self.version:
             self._snapshot_at = entry.appended_at
         if version > self.version:
-            self._put_in_force(InForce(version, text, manifest))
+            self._put_in_force(ActiveManifest(version, text, manifest))
 
-    def _put_in_force(self, fresh: InForce) -> None:
+    def _put_in_force(self, fresh: ActiveManifest) -> None:
         self._in_force = fresh
         for listener in self._listeners:
             listener(fresh)
--- a/src/amaranthrail/follower.py
+++ b/src/amaranthrail/consumer.py
@@ -16,7 +16,7 @@
 _MAX_BACKOFF_MS = 800
 
 
-class Follower:
+class StreamConsumer:
     """Read one stream by long poll and hand on each record once."""
 
     def __init__(
@@ -41,7 +41,7 @@
         return self._reachable
 
     @property
-    def first(self) -> int:
+    def oldest_offset(self) -> int:
         """Return the oldest offset that the log still keeps."""
         return self._first
 
--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -12,7 +12,7 @@
 from ..adapters.httpserver import Reply
 from ..adapters.problem import send_refusal
 from ..clock import Clock, move_on_after
-from ..outcomes import Reason, Refusal, not_run, unknown
+from ..outcomes import Reason, Refusal, not_run, unknown_outcome
 from ..policy.retryafter import (
     choose_peak_retry_after_ms,
     choose_retry_after_ms,
@@ -223,7 +223,7 @@
         if failed is not None:
             cause = failed.cause
         if call.may_have_run:
-            return unknown(Reason.UPSTREAM_BROKEN, cause)
+            return unknown_outcome(Reason.UPSTREAM_BROKEN, cause)
         if call.crest is not None and not call.choices:
             left_ms = call.deadline - self._clock.now()
             return not_run(
@@ -245,5 +245,5 @@
 def _expired(call: Call) -> Refusal:
     detail = 'no answer before the deadline'
     if call.may_have_run:
-        return unknown(Reason.EXPIRED, detail)
+        return unknown_outcome(Reason.EXPIRED, detail)
     return not_run(Reason.EXPIRED, detail)
--- a/src/amaranthrail/entry/administration.py
+++ b/src/amaranthrail/entry/administration.py
@@ -15,14 +15,14 @@
 from ..adapters.probes import send_alive, send_metrics, send_ready
 from ..adapters.problem import JSON_TYPE, send_json
 from ..configuration import Configuration
+from ..consumer import StreamConsumer
 from ..exceptions import ManifestError
-from ..follower import Follower
 from ..manifest import parse_manifest
 from ..ports import LogPort
 from ..publish import new_change, publish_drain, publish_manifest
-from ..records import Drain, FilingState, new_record_id
+from ..records import AttemptState, Drain, new_record_id
 from ..timeline import Event, merge_events
-from ..types import FilingKey
+from ..types import IdempotencyKey
 from .core import EntryCore
 from .filings import Filings
 from .ledger import Filing
@@ -61,7 +61,7 @@
 
     core: EntryCore
     filings: Filings
-    control: Follower
+    control: StreamConsumer
     log: LogPort
 
 
@@ -145,7 +145,8 @@
                 'log_reachable': self._control.reachable
                 and core.shards.reachable,
                 'host_list_reachable': core.roster.reachable,
-                'records_skipped': configuration.skipped + ledger.skipped,
+                'records_skipped': configuration.skipped_records
+                + ledger.skipped,
                 'contradictions': ledger.contradictions,
                 'filings': {
                     'known': ledger.size,
@@ -162,7 +163,7 @@
         )
 
     async def _timeline(self, _request: HttpRequest, reply: Reply) -> None:
-        sources = [self._runtime.timeline.after(0)]
+        sources = [self._runtime.timeline.events_after(0)]
         async with trio.open_nursery() as nursery:
             for peer in self._core.roster.peers:
                 nursery.start_soon(_gather_events, peer, sources)
@@ -174,15 +175,15 @@
 
     async def _resolve(self, request: HttpRequest, reply: Reply) -> None:
         order = _decode_order(request.body, _ResolveOrder)
-        states = {'ran': FilingState.RAN, 'not-run': FilingState.VOID}
+        states = {'ran': AttemptState.RAN, 'not-run': AttemptState.VOID}
         if order is None or order.outcome not in states:
             usage = 'give outcome ("ran" or "not-run") and author'
             await send_json(reply, _BAD_REQUEST, {'title': usage})
             return
         quoted = request.path[len(_LOST_PREFIX) : -len(_RESOLVE_SUFFIX)]
-        key = FilingKey(unquote(quoted))
+        key = IdempotencyKey(unquote(quoted))
         filing = self._core.shards.ledger.find(key)
-        if filing is None or filing.state is not FilingState.LOST:
+        if filing is None or filing.state is not AttemptState.LOST:
             missing = f'key {key!r} is not on the lost list'
             await send_json(reply, _NOT_FOUND, {'title': missing})
             return
@@ -288,11 +289,11 @@
         'connected': peer.connected,
         'takes_work': peer.takes_work,
         'draining': configuration.is_draining(peer.name),
-        'leaving': load is not None and load.leaving,
+        'leaving': load is not None and load.shutting_down,
         'queued': 0 if load is None else load.queued,
         'running': 0 if load is None else load.running,
         'work_ms': 0 if load is None else load.short_ms + load.long_ms,
-        'manifest_version': 0 if load is None else load.manifest,
+        'manifest_version': 0 if load is None else load.manifest_version,
     }
 
 
--- a/src/amaranthrail/entry/call.py
+++ b/src/amaranthrail/entry/call.py
@@ -11,8 +11,8 @@
 from ..policy.sizes import Size
 from ..types import (
     KEY_HEADER,
-    FilingKey,
     HeaderList,
+    IdempotencyKey,
     RequestId,
     qualified_key,
 )
@@ -52,7 +52,7 @@
     label: str
 
     @property
-    def key(self) -> FilingKey | None:
+    def key(self) -> IdempotencyKey | None:
         """Return the idempotency key, qualified by its organisation."""
         given = self.request.header(KEY_HEADER)
         if not given:
@@ -91,7 +91,7 @@
         incarnation=target.incarnation,
         stamp=clock.stamp(),
         clock=sidecar_clock,
-        manifest=target.manifest,
+        manifest_version=target.manifest,
         organisation=call.organisation.name,
         method=call.request.method,
         target=call.request.target,
--- a/src/amaranthrail/entry/conclusions.py
+++ b/src/amaranthrail/entry/conclusions.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from ..adapters.httpclient import HttpAnswer
-from ..outcomes import Outcome, Reason, Refusal, not_run, unknown
-from ..records import Conclusion, FilingState, Intent
+from ..outcomes import Outcome, Reason, Refusal, not_run, unknown_outcome
+from ..records import AttemptState, Conclusion, Intent
 from ..runtime import Runtime
-from ..types import FilingKey
+from ..types import IdempotencyKey
 from .ledger import Filing
 from .shards import Shards
 
@@ -29,11 +29,11 @@
 
     def void(self, intent: Intent, reason: str) -> None:
         """Record that an attempt did not run and never will."""
-        self._conclude(intent, FilingState.VOID, reason)
+        self._conclude(intent, AttemptState.VOID, reason)
 
     def lost(self, intent: Intent, reason: str) -> None:
         """Record that what became of an attempt cannot be known."""
-        self._conclude(intent, FilingState.LOST, reason)
+        self._conclude(intent, AttemptState.LOST, reason)
 
     def ran(self, intent: Intent, answer: HttpAnswer) -> None:
         """Record that an attempt ran, and its answer."""
@@ -42,7 +42,7 @@
             Conclusion(
                 key=intent.key,
                 intent=intent.id,
-                state=FilingState.RAN,
+                state=AttemptState.RAN,
                 reason=Reason.ANSWER_TOO_LARGE.value if too_large else '',
                 status=answer.status,
                 headers=answer.headers,
@@ -53,7 +53,7 @@
     def _conclude(
         self,
         intent: Intent,
-        state: FilingState,
+        state: AttemptState,
         reason: str,
     ) -> None:
         self._add(
@@ -80,13 +80,13 @@
     """Return the answer that the record holds for a key."""
     conclusion = filing.conclusion
     if filing.resolution is not None:
-        return unknown(
+        return unknown_outcome(
             Reason.KEY_LOST,
             f'resolved as {filing.state.value} by {filing.resolution.author}',
         )
-    if filing.state is FilingState.VOID:
+    if filing.state is AttemptState.VOID:
         return not_run(Reason.VOIDED, 'voided before its start')
-    if filing.state is FilingState.RAN and conclusion is not None:
+    if filing.state is AttemptState.RAN and conclusion is not None:
         if conclusion.reason:
             return Refusal(Outcome.RAN, Reason.ANSWER_TOO_LARGE, 'not kept')
         return HttpAnswer(
@@ -94,9 +94,9 @@
             conclusion.headers,
             conclusion.body,
         )
-    return unknown(Reason.KEY_LOST, 'an operator must resolve this key')
+    return unknown_outcome(Reason.KEY_LOST, 'an operator must resolve this key')
 
 
-def key_reused(key: FilingKey) -> Refusal:
+def key_reused(key: IdempotencyKey) -> Refusal:
     """Return the refusal of a key that came with another request before."""
     return not_run(Reason.KEY_REUSED, f'key {key} came with another request')
--- a/src/amaranthrail/entry/exchange.py
+++ b/src/amaranthrail/entry/exchange.py
@@ -9,23 +9,23 @@
 
 from ..frames import (
     Ack,
-    AskKey,
-    Broken,
+    AttemptQuery,
     Dispatch,
-    End,
-    Head,
-    Inquire,
-    Part,
+    Failed,
+    KeyQuery,
     Refused,
+    ResponseData,
+    ResponseEnd,
+    ResponseHead,
 )
-from ..outcomes import Reason, Refusal, not_run, unknown
+from ..outcomes import Reason, Refusal, not_run, unknown_outcome
 from ..types import RequestId
 
 #: The sidecar sends at most this far past the last acknowledged byte.
 ACK_EVERY_BYTES = 65_536
 
 #: The frames that open an exchange.
-Opening = Dispatch | Inquire | AskKey
+Opening = Dispatch | AttemptQuery | KeyQuery
 
 
 class Exchange:
@@ -35,7 +35,7 @@
         """Take the request's id and the frame that opened the exchange."""
         self._request = request
         self._opening = opening
-        self._head: Head | None = None
+        self._head: ResponseHead | None = None
         self._parts: deque[bytes] = deque()
         self._received = 0
         self._consumed = 0
@@ -76,20 +76,25 @@
             self._failure = failure
             self._notify()
 
-    def take(self, frame: Head | Part | End | Refused | Broken) -> None:
+    def take(
+        self,
+        frame: ResponseHead | ResponseData | ResponseEnd | Refused | Failed,
+    ) -> None:
         """Take the next frame of the answer; repeated bytes are dropped."""
         match frame:
-            case Head():
+            case ResponseHead():
                 if self._head is None:
                     self._head = frame
-            case Part():
+            case ResponseData():
                 self._take_part(frame)
-            case End():
+            case ResponseEnd():
                 self._take_end(frame)
             case Refused():
                 self._take_refused(frame)
-            case Broken():
-                self.fail(unknown(reason_of(frame.reason), frame.detail))
+            case Failed():
+                self.fail(
+                    unknown_outcome(reason_of(frame.reason), frame.detail)
+                )
         self._notify()
 
     def ack(self) -> Ack | None:
@@ -100,12 +105,12 @@
         self._acked = self._consumed
         return Ack(self._request, self._acked)
 
-    async def wait_head(self) -> Head | Refusal:
+    async def wait_head(self) -> ResponseHead | Refusal:
         """Return the answer's head, or why there is none."""
         while self._head is None and self._failure is None:
             await self._wake.wait()
         if self._head is None:
-            return self._failure or unknown(Reason.PEER_GONE)
+            return self._failure or unknown_outcome(Reason.PEER_GONE)
         return self._head
 
     async def next_part(self) -> bytes | Refusal | None:
@@ -132,10 +137,10 @@
                 return part
             body += part
 
-    def _take_part(self, part: Part) -> None:
+    def _take_part(self, part: ResponseData) -> None:
         if part.offset > self._received:
             gap = f'bytes {self._received} to {part.offset} are missing'
-            self.fail(unknown(Reason.UPSTREAM_BROKEN, gap))
+            self.fail(unknown_outcome(Reason.UPSTREAM_BROKEN, gap))
             return
         fresh = part.payload[self._received - part.offset :]
         if fresh:
@@ -143,16 +148,20 @@
             self._received += len(fresh)
             self._parts.append(fresh)
 
-    def _take_end(self, end: End) -> None:
+    def _take_end(self, end: ResponseEnd) -> None:
         same_length = end.length == self._received
         if same_length and end.digest == self._digest.intdigest():
             self._whole = self._failure is None
             return
-        self.fail(unknown(Reason.UPSTREAM_BROKEN, 'length or digest differs'))
+        self.fail(
+            unknown_outcome(Reason.UPSTREAM_BROKEN, 'length or digest differs')
+        )
 
     def _take_refused(self, refused: Refused) -> None:
         if self._head is not None:
-            self.fail(unknown(Reason.UPSTREAM_BROKEN, 'refused after start'))
+            self.fail(
+                unknown_outcome(Reason.UPSTREAM_BROKEN, 'refused after start')
+            )
             return
         self.fail(
             not_run(
--- a/src/amaranthrail/entry/inflight.py
+++ b/src/amaranthrail/entry/inflight.py
@@ -5,15 +5,15 @@
 import trio
 
 from ..frames import (
-    AskKey,
-    Broken,
+    AttemptQuery,
     Dispatch,
-    End,
-    Events,
-    Head,
-    Inquire,
-    Part,
+    EventsResponse,
+    Failed,
+    KeyQuery,
     Refused,
+    ResponseData,
+    ResponseEnd,
+    ResponseHead,
     Resume,
 )
 from ..metrics import Metrics
@@ -76,7 +76,10 @@
         """Forget who waits for events."""
         self._waiters.pop(request, None)
 
-    def take(self, frame: Head | Part | End | Refused | Broken) -> None:
+    def take(
+        self,
+        frame: ResponseHead | ResponseData | ResponseEnd | Refused | Failed,
+    ) -> None:
         """Hand on a frame; one for an unknown request is dropped."""
         exchange = self._exchanges.get(frame.request)
         if exchange is None:
@@ -84,13 +87,13 @@
             return
         exchange.take(frame)
 
-    def take_events(self, frame: Events) -> None:
+    def take_events(self, frame: EventsResponse) -> None:
         """Hand on a peer's time line."""
         waiter = self._waiters.get(frame.request)
         if waiter is not None:
             waiter.take(frame.payload)
 
-    def resumptions(self) -> list[Resume | Inquire | AskKey]:
+    def resumptions(self) -> list[Resume | AttemptQuery | KeyQuery]:
         """Return the frames that go on with all exchanges on a new link."""
         return [_resumption(one) for one in self._exchanges.values()]
 
@@ -101,9 +104,9 @@
         self._exchanges.clear()
 
 
-def _resumption(exchange: Exchange) -> Resume | Inquire | AskKey:
+def _resumption(exchange: Exchange) -> Resume | AttemptQuery | KeyQuery:
     opening = exchange.opening
-    if isinstance(opening, AskKey):
+    if isinstance(opening, KeyQuery):
         return opening
     if isinstance(opening, Dispatch) and not opening.intent:
         return Resume(
@@ -111,7 +114,7 @@
             exchange.received,
             exchange.has_head,
         )
-    return Inquire(
+    return AttemptQuery(
         exchange.request,
         opening.incarnation,
         opening.intent,
--- a/src/amaranthrail/entry/ledger.py
+++ b/src/amaranthrail/entry/ledger.py
@@ -9,14 +9,14 @@
 from ..ports import LogEntry
 from ..records import (
     AnyFact,
+    AttemptState,
     Conclusion,
-    FilingBatch,
-    FilingState,
+    FactBatch,
     Intent,
     Resolution,
     decode_record,
 )
-from ..types import FilingKey
+from ..types import IdempotencyKey
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
     """
 
     intent: Intent
-    state: FilingState
+    state: AttemptState
     shard: int
     offset: int
     recorded_at: int
@@ -45,8 +45,8 @@
 
     def __init__(self) -> None:
         """Start with no key known."""
-        self._filings: dict[FilingKey, Filing] = {}
-        self._pending: dict[FilingKey, Filing] = {}
+        self._filings: dict[IdempotencyKey, Filing] = {}
+        self._pending: dict[IdempotencyKey, Filing] = {}
         self._kept_from: dict[int, int] = {}
         self._skipped = 0
         self._contradictions = 0
@@ -67,17 +67,17 @@
         """Return how many keys are known."""
         return len(self._filings)
 
-    def find(self, key: FilingKey) -> Filing | None:
+    def find(self, key: IdempotencyKey) -> Filing | None:
         """Return where a key stands, None for one never seen."""
         return self._filings.get(key)
 
     def open(self) -> list[Filing]:
         """Return the keys whose outcome is not known yet."""
-        return self._in_state(FilingState.OPEN)
+        return self._in_state(AttemptState.OPEN)
 
     def lost(self) -> list[Filing]:
         """Return the keys whose outcome cannot be known."""
-        return self._in_state(FilingState.LOST)
+        return self._in_state(AttemptState.LOST)
 
     async def wait_changed(self) -> None:
         """Return after the next record has been applied."""
@@ -86,7 +86,7 @@
     def apply(self, shard: int, entry: LogEntry) -> str:
         """Take in the next record of a shard; return its id, if it has one."""
         record = decode_record(entry.text)
-        if isinstance(record, FilingBatch):
+        if isinstance(record, FactBatch):
             for fact in record.facts:
                 self._apply_fact(shard, entry, fact)
         else:
@@ -109,11 +109,11 @@
             del self._filings[key]
             self._pending.pop(key, None)
 
-    def _in_state(self, state: FilingState) -> list[Filing]:
+    def _in_state(self, state: AttemptState) -> list[Filing]:
         return [one for one in self._pending.values() if one.state is state]
 
     def _apply_fact(self, shard: int, entry: LogEntry, fact: AnyFact) -> None:
-        key = FilingKey(fact.key)
+        key = IdempotencyKey(fact.key)
         known = self._filings.get(key)
         match fact:
             case Intent():
@@ -125,9 +125,9 @@
         if fresh is not None:
             self._keep(key, fresh)
 
-    def _keep(self, key: FilingKey, fresh: Filing) -> None:
+    def _keep(self, key: IdempotencyKey, fresh: Filing) -> None:
         self._filings[key] = fresh
-        if fresh.state in {FilingState.OPEN, FilingState.LOST}:
+        if fresh.state in {AttemptState.OPEN, AttemptState.LOST}:
             self._pending[key] = fresh
         else:
             self._pending.pop(key, None)
@@ -140,10 +140,10 @@
     ) -> Filing | None:
         if known is None or known.intent.id != fact.intent:
             return None
-        if known.state is fact.state and known.state is not FilingState.LOST:
+        if known.state is fact.state and known.state is not AttemptState.LOST:
             return None
-        if known.state in {FilingState.RAN, FilingState.VOID}:
-            final = fact.state in {FilingState.RAN, FilingState.VOID}
+        if known.state in {AttemptState.RAN, AttemptState.VOID}:
+            final = fact.state in {AttemptState.RAN, AttemptState.VOID}
             self._contradictions += final
             return None
         return _moved(known, fact.state, entry, conclusion=fact)
@@ -159,12 +159,12 @@
         # Written again before retention drops it, or an append repeated.
         return _moved(known, known.state, entry)
     expected = 1 if known is None else known.intent.attempt + 1
-    claimed = known is not None and known.state is not FilingState.VOID
+    claimed = known is not None and known.state is not AttemptState.VOID
     if claimed or (known is not None and fact.attempt != expected):
         return None
     return Filing(
         fact,
-        FilingState.OPEN,
+        AttemptState.OPEN,
         shard,
         int(entry.offset),
         entry.appended_at,
@@ -178,14 +178,14 @@
 ) -> Filing | None:
     if known is None or known.intent.id != fact.intent:
         return None
-    if known.state is not FilingState.LOST:
+    if known.state is not AttemptState.LOST:
         return None
     return _moved(known, fact.state, entry, resolution=fact)
 
 
 def _moved(
     known: Filing,
-    state: FilingState,
+    state: AttemptState,
     entry: LogEntry,
     conclusion: Conclusion | None = None,
     resolution: Resolution | None = None,
--- a/src/amaranthrail/entry/peers.py
+++ b/src/amaranthrail/entry/peers.py
@@ -19,32 +19,36 @@
     greet,
 )
 from ..clock import move_on_after, sleep
+from ..configsync import (
+    exchange_frames,
+    handle_config_frame,
+    heartbeat_without_load,
+)
 from ..exceptions import FrameError
 from ..frames import (
     Ack,
     AnyFrame,
-    AskKey,
-    Broken,
+    AttemptQuery,
     Cancel,
     Dispatch,
-    End,
-    Events,
-    EventsAsk,
-    Head,
+    EventsRequest,
+    EventsResponse,
+    Failed,
     Heartbeat,
     Hello,
-    Inquire,
-    Part,
+    KeyQuery,
     Refused,
+    ResponseData,
+    ResponseEnd,
+    ResponseHead,
     Welcome,
 )
 from ..logs import part_logger
-from ..outcomes import Reason, unknown
+from ..outcomes import Reason, unknown_outcome
 from ..policy.balancing import Candidate
 from ..ports import HostRecord, HostState
 from ..runtime import Runtime
 from ..settings import EntrySettings
-from ..spread import exchange_frames, plain_heartbeat, take_shared
 from ..timeline import Event
 from ..types import Incarnation, RequestId
 from .exchange import Exchange
@@ -136,7 +140,7 @@
         """Tell whether new work may go there, by any word there is."""
         if self._load is None or self._link is None:
             return False
-        if self._load.leaving or self._record.state is HostState.LEAVING:
+        if self._load.shutting_down or self._record.state is HostState.LEAVING:
             return False
         return not self._runtime.configuration.is_draining(self.name)
 
@@ -175,14 +179,14 @@
         """Ask what became of an attempt, voiding it if it has not started."""
         request = self._access.next_request()
         incarnation = self._incarnation or ''
-        exchange = Exchange(request, Inquire(request, incarnation, intent))
+        exchange = Exchange(request, AttemptQuery(request, incarnation, intent))
         self._open(exchange)
         return exchange
 
     def ask_key(self, key: str) -> Exchange:
         """Ask what became of a key there, voiding nothing."""
         request = self._access.next_request()
-        exchange = Exchange(request, AskKey(request, key))
+        exchange = Exchange(request, KeyQuery(request, key))
         self._open(exchange)
         return exchange
 
@@ -209,7 +213,7 @@
     def announce(self) -> None:
         """Tell the versions in force now rather than at the next beat."""
         if self._link is not None:
-            self._link.post(plain_heartbeat(self._runtime))
+            self._link.post(heartbeat_without_load(self._runtime))
 
     async def events(self, timeout_ms: float) -> list[Event]:
         """Return the sidecar's time line, empty where it does not answer."""
@@ -217,7 +221,7 @@
             return []
         request = self._access.next_request()
         waiter = self._in_flight.add_waiter(request)
-        self._link.post(EventsAsk(request, 0))
+        self._link.post(EventsRequest(request, 0))
         with move_on_after(timeout_ms):
             await waiter.wait()
         self._in_flight.remove_waiter(request)
@@ -310,22 +314,22 @@
         if isinstance(frame, Heartbeat):
             self._load = frame
             self._tracker.hear(frame)
-        if take_shared(link, self._runtime, frame):
+        if handle_config_frame(link, self._runtime, frame):
             return
         match frame:
-            case Head() | End() | Refused() | Broken():
+            case ResponseHead() | ResponseEnd() | Refused() | Failed():
                 self._runtime.clock.receive(frame.stamp)
                 self._in_flight.take(frame)
-            case Part():
+            case ResponseData():
                 self._in_flight.take(frame)
-            case Events():
+            case EventsResponse():
                 self._in_flight.take_events(frame)
             case _:
                 raise FrameError(f'unexpected {type(frame).__name__}')
 
     def _open(self, exchange: Exchange) -> None:
         if self._link is None:
-            exchange.fail(unknown(Reason.PEER_GONE, 'not connected'))
+            exchange.fail(unknown_outcome(Reason.PEER_GONE, 'not connected'))
             return
         self._in_flight.add(exchange)
         self._link.post(exchange.opening)
@@ -349,4 +353,4 @@
 
     def _fail_all(self) -> None:
         detail = f'sidecar of {self.name} is gone'
-        self._in_flight.fail_all(unknown(Reason.PEER_GONE, detail))
+        self._in_flight.fail_all(unknown_outcome(Reason.PEER_GONE, detail))
--- a/src/amaranthrail/entry/settlement.py
+++ b/src/amaranthrail/entry/settlement.py
@@ -5,10 +5,10 @@
 from ..adapters.httpclient import HttpAnswer
 from ..clock import MS_PER_SECOND, move_on_after, sleep
 from ..logs import part_logger
-from ..outcomes import Outcome, Reason, not_run, unknown
+from ..outcomes import Outcome, Reason, not_run, unknown_outcome
 from ..policy.balancing import rendezvous
-from ..records import FilingState, Intent
-from ..types import FilingKey
+from ..records import AttemptState, Intent
+from ..types import IdempotencyKey
 from .conclusions import Answer, Conclusions, recorded_answer
 from .core import EntryCore
 from .inquiries import ASK_TIMEOUT_MS, Inquiries
@@ -72,8 +72,8 @@
         )
         give_up = self._runtime.clock.now() + max(ASK_TIMEOUT_MS, give_up_ms)
         while self._runtime.clock.now() < give_up:
-            filing = self._ledger.find(FilingKey(intent.key))
-            if filing is not None and filing.state is not FilingState.OPEN:
+            filing = self._ledger.find(IdempotencyKey(intent.key))
+            if filing is not None and filing.state is not AttemptState.OPEN:
                 return recorded_answer(filing)
             peer = self._core.roster.find(intent.upstream)
             if peer is not None and peer.is_gone(intent.incarnation):
@@ -84,7 +84,7 @@
             await sleep(_ASK_AGAIN_MS)
         self._conclusions.lost(intent, 'sidecar gone')
         _log.warning('filing lost', key=intent.key, upstream=intent.upstream)
-        return unknown(
+        return unknown_outcome(
             Reason.PEER_GONE,
             f'{intent.upstream} ended before it told the outcome',
         )
@@ -95,9 +95,9 @@
         return not_run(reason, 'voided before its start', int(MS_PER_SECOND))
 
     def _is_open(self, intent: Intent) -> bool:
-        filing = self._ledger.find(FilingKey(intent.key))
+        filing = self._ledger.find(IdempotencyKey(intent.key))
         return (
             filing is not None
             and filing.intent.id == intent.id
-            and filing.state is FilingState.OPEN
+            and filing.state is AttemptState.OPEN
         )
--- a/src/amaranthrail/entry/shards.py
+++ b/src/amaranthrail/entry/shards.py
@@ -8,17 +8,17 @@
 import xxhash
 
 from ..clock import Clock, move_on_after, sleep
+from ..consumer import StreamConsumer
 from ..exceptions import LogUnavailableError
-from ..follower import Follower
 from ..ports import LogEntry, LogPort
 from ..records import (
     AnyFact,
-    FilingBatch,
+    FactBatch,
     encode_record,
     new_record_id,
     shard_stream,
 )
-from ..types import FilingKey
+from ..types import IdempotencyKey
 from .ledger import Ledger
 
 _REPEAT_MS = 200
@@ -53,10 +53,10 @@
         self._unanswered = 0
         self._appending = ''
         self._seen = trio.Event()
-        self._follower = Follower(log, shard_stream(number), self._apply)
+        self._follower = StreamConsumer(log, shard_stream(number), self._apply)
 
     @property
-    def follower(self) -> Follower:
+    def follower(self) -> StreamConsumer:
         """Return the reader of the shard."""
         return self._follower
 
@@ -98,7 +98,7 @@
 
     async def _append_batch(self) -> None:
         facts = tuple(self._waiting)[:_MAX_BATCH_FACTS]
-        record = FilingBatch(id=new_record_id(), facts=facts)
+        record = FactBatch(id=new_record_id(), facts=facts)
         self._appending = record.id
         self._seen = trio.Event()
         text = encode_record(record)
@@ -172,21 +172,21 @@
 
     def add(self, fact: AnyFact) -> None:
         """Queue a fact for its key's shard."""
-        self.shard_of(FilingKey(fact.key)).add(fact)
+        self.shard_of(IdempotencyKey(fact.key)).add(fact)
 
-    def shard_of(self, key: FilingKey) -> Shard:
+    def shard_of(self, key: IdempotencyKey) -> Shard:
         """Return the shard that keeps a key."""
         number = xxhash.xxh3_64_intdigest(key.encode()) % len(self._shards)
         return self._shards[number]
 
-    async def wait_caught_up(self, key: FilingKey) -> None:
+    async def wait_caught_up(self, key: IdempotencyKey) -> None:
         """Return once the key's shard has been read to its end."""
         await self.shard_of(key).follower.wait_caught_up()
 
     def forget_expired(self) -> None:
         """Drop the keys that the log no longer keeps."""
         for number, shard in enumerate(self._shards):
-            self._ledger.forget(number, shard.follower.first)
+            self._ledger.forget(number, shard.follower.oldest_offset)
 
     async def run(self) -> None:
         """Append and follow for good."""
--- a/src/amaranthrail/entry/upkeep.py
+++ b/src/amaranthrail/entry/upkeep.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from ..clock import sleep
+from ..consumer import StreamConsumer
 from ..exceptions import LogUnavailableError
-from ..follower import Follower
 from ..logs import part_logger
 from ..policy.balancing import rendezvous
 from ..ports import LogPort
@@ -34,7 +34,7 @@
         self,
         runtime: Runtime,
         log: LogPort,
-        control: Follower,
+        control: StreamConsumer,
         shards: Shards,
     ) -> None:
         """Take the log, the follower of the control stream, the shards."""
@@ -57,7 +57,7 @@
         in_force = configuration.in_force
         if in_force is None or not self._control.reachable:
             return
-        if not self._is_due(configuration.kept_since, 'manifest'):
+        if not self._is_due(configuration.last_stored_at, 'manifest'):
             return
         snapshot = ManifestSnapshot(
             id=new_record_id(),
--- a/src/amaranthrail/frames.py
+++ b/src/amaranthrail/frames.py
@@ -58,8 +58,8 @@
 
     stamp: int
     clock: float
-    manifest: int
-    drains: int
+    manifest_version: int
+    drains_version: int
     queued: int = 0
     running: int = 0
     short_count: int = 0
@@ -67,7 +67,7 @@
     long_count: int = 0
     long_ms: float = 0
     slots: int = 0
-    leaving: bool = False
+    shutting_down: bool = False
 
 
 class Dispatch(Frame, frozen=True, tag='dispatch'):
@@ -82,7 +82,7 @@
     incarnation: str
     stamp: int
     clock: float
-    manifest: int
+    manifest_version: int
     organisation: str
     method: str
     target: str
@@ -94,7 +94,7 @@
     intent: str = ''
 
 
-class Head(Frame, frozen=True, tag='head'):
+class ResponseHead(Frame, frozen=True, tag='head'):
     """Begin an answer."""
 
     request: str
@@ -103,7 +103,7 @@
     headers: tuple[tuple[str, str], ...]
 
 
-class Part(Frame, frozen=True, tag='part'):
+class ResponseData(Frame, frozen=True, tag='part'):
     """Carry bytes of an answer's body from ``offset`` on."""
 
     request: str
@@ -111,7 +111,7 @@
     payload: bytes
 
 
-class End(Frame, frozen=True, tag='end'):
+class ResponseEnd(Frame, frozen=True, tag='end'):
     """Complete an answer: its length and xxh3-64 digest."""
 
     request: str
@@ -130,7 +130,7 @@
     retry_after_ms: int = 0
 
 
-class Broken(Frame, frozen=True, tag='broken'):
+class Failed(Frame, frozen=True, tag='broken'):
     """Say that a request started and its whole answer cannot be had."""
 
     request: str
@@ -161,7 +161,7 @@
     request: str
 
 
-class Inquire(Frame, frozen=True, tag='inquire'):
+class AttemptQuery(Frame, frozen=True, tag='inquire'):
     """Ask what became of an attempt; one not started is voided for good."""
 
     request: str
@@ -170,7 +170,7 @@
     received: int = 0
 
 
-class AskKey(Frame, frozen=True, tag='key?'):
+class KeyQuery(Frame, frozen=True, tag='key?'):
     """Ask what became of a key, voiding nothing; for when the log is down."""
 
     request: str
@@ -189,14 +189,14 @@
     drains: tuple[tuple[str, int, bool], ...]
 
 
-class EventsAsk(Frame, frozen=True, tag='events?'):
+class EventsRequest(Frame, frozen=True, tag='events?'):
     """Ask for the time line of the peer after a sequence number."""
 
     request: str
     after: int
 
 
-class Events(Frame, frozen=True, tag='events'):
+class EventsResponse(Frame, frozen=True, tag='events'):
     """Hand over events as JSON lines."""
 
     request: str
@@ -223,20 +223,20 @@
     | Welcome
     | Heartbeat
     | Dispatch
-    | Head
-    | Part
-    | End
+    | ResponseHead
+    | ResponseData
+    | ResponseEnd
     | Refused
-    | Broken
+    | Failed
     | Ack
     | Resume
     | Cancel
-    | Inquire
-    | AskKey
+    | AttemptQuery
+    | KeyQuery
     | ManifestPull
     | ManifestPush
-    | EventsAsk
-    | Events
+    | EventsRequest
+    | EventsResponse
     | GroupOrder
     | GroupReply
 )
--- a/src/amaranthrail/publish.py
+++ b/src/amaranthrail/publish.py
@@ -6,7 +6,7 @@
 import trio
 
 from .clock import move_on_after, sleep
-from .configuration import Configuration, Verdict
+from .configuration import Configuration, PublishResult
 from .exceptions import LogUnavailableError
 from .ports import LogPort
 from .records import (
@@ -43,7 +43,7 @@
     configuration: Configuration,
     change: ManifestChange,
     timeout_ms: int,
-) -> Verdict | None:
+) -> PublishResult | None:
     """Append a change and return its verdict, None if not known in time.
 
     The configuration must be following the log meanwhile.
@@ -51,7 +51,7 @@
     seen = trio.Event()
 
     async def watch() -> None:
-        while configuration.verdict(change.id) is None:
+        while configuration.publish_result(change.id) is None:
             await configuration.wait_changed()
         seen.set()
 
@@ -59,7 +59,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(watch)
             await append_until_seen(log, change, seen)
-    return configuration.verdict(change.id)
+    return configuration.publish_result(change.id)
 
 
 def new_change(base: int, text: bytes, author: str) -> ManifestChange:
--- a/src/amaranthrail/stories.py
+++ b/src/amaranthrail/requestlog.py
@@ -45,7 +45,7 @@
         return f'{moment} {self.process} {self.event} {rest}'
 
 
-def read_lines(text: Iterable[str]) -> Iterator[LogLine]:
+def parse_log_lines(text: Iterable[str]) -> Iterator[LogLine]:
     """Yield the structured lines among others.
 
     A line may have other text before its JSON object.
@@ -63,7 +63,7 @@
         yield LogLine(line.timestamp, line.process, line.event, fields)
 
 
-def tell_story(request: str, lines: Iterable[LogLine]) -> list[LogLine]:
+def explain_request(request: str, lines: Iterable[LogLine]) -> list[LogLine]:
     """Return a request's lines and what its processes learnt before them."""
     known = sorted(lines, key=_time_of)
     own = [line for line in known if line.fields.get('request') == request]
--- a/src/amaranthrail/sidecar/peers.py
+++ b/src/amaranthrail/sidecar/peers.py
@@ -9,21 +9,22 @@
 
 from ..adapters.link import HANDSHAKE_TIMEOUT_S, Link, LinkClosedError, admit
 from ..clock import sleep
+from ..configsync import handle_config_frame
 from ..exceptions import FrameError
 from ..frames import (
     Ack,
     AnyFrame,
-    AskKey,
-    Broken,
+    AttemptQuery,
     Cancel,
     Dispatch,
-    Events,
-    EventsAsk,
+    EventsRequest,
+    EventsResponse,
+    Failed,
     GroupOrder,
     GroupReply,
     Heartbeat,
     Hello,
-    Inquire,
+    KeyQuery,
     Refused,
     Resume,
     Welcome,
@@ -33,7 +34,6 @@
 from ..outcomes import Reason, Refusal
 from ..runtime import Runtime
 from ..settings import SidecarSettings
-from ..spread import take_shared
 from ..timeline import encode_events
 from ..types import RequestId
 from .gate import Gate
@@ -168,7 +168,7 @@
         )
 
     def _take(self, frame: AnyFrame, nursery: trio.Nursery) -> None:
-        if take_shared(self._link, self._runtime, frame):
+        if handle_config_frame(self._link, self._runtime, frame):
             return
         match frame:
             case Dispatch():
@@ -176,11 +176,13 @@
                 self._take_dispatch(frame)
             case Ack():
                 self._take_ack(frame)
-            case Resume() | Inquire() | AskKey() | Cancel():
+            case Resume() | AttemptQuery() | KeyQuery() | Cancel():
                 self._take_question(frame)
-            case EventsAsk():
-                events = self._runtime.timeline.after(frame.after)
-                self._link.post(Events(frame.request, encode_events(events)))
+            case EventsRequest():
+                events = self._runtime.timeline.events_after(frame.after)
+                self._link.post(
+                    EventsResponse(frame.request, encode_events(events))
+                )
             case GroupOrder():
                 nursery.start_soon(self._take_order, frame)
             case _:
@@ -196,7 +198,7 @@
 
     def _take_question(
         self,
-        frame: Resume | Inquire | AskKey | Cancel,
+        frame: Resume | AttemptQuery | KeyQuery | Cancel,
     ) -> None:
         gate = self._office.gate
         match frame:
@@ -206,25 +208,25 @@
                     gate.void(frame.request)
                 progress = Progress(frame.received, has_head=frame.has_head)
                 self._answer(frame.request, run, progress)
-            case Inquire():
+            case AttemptQuery():
                 self._take_inquiry(frame)
-            case AskKey():
+            case KeyQuery():
                 self._take_key_question(frame)
             case Cancel():
                 self._cancel(frame.request)
 
-    def _take_inquiry(self, inquiry: Inquire) -> None:
+    def _take_inquiry(self, inquiry: AttemptQuery) -> None:
         if inquiry.incarnation != self._runtime.incarnation:
             # What an earlier incarnation ran cannot be known here.
             stamp = self._runtime.clock.stamp()
             reason = Reason.WRONG_INCARNATION.value
-            self._link.post(Broken(inquiry.request, stamp, reason))
+            self._link.post(Failed(inquiry.request, stamp, reason))
             return
         run = self._office.gate.inquire(inquiry.intent)
         progress = Progress(inquiry.received)
         self._answer(inquiry.request, run, progress)
 
-    def _take_key_question(self, asked: AskKey) -> None:
+    def _take_key_question(self, asked: KeyQuery) -> None:
         run = self._office.gate.find_key(asked.key)
         if run is None:
             self._refuse(asked.request, Reason.KEY_UNKNOWN, 'never ran here')
--- a/src/amaranthrail/sidecar/run.py
+++ b/src/amaranthrail/sidecar/run.py
@@ -9,7 +9,15 @@
 import trio
 import xxhash
 
-from ..frames import Broken, Dispatch, End, Frame, Head, Part, Refused
+from ..frames import (
+    Dispatch,
+    Failed,
+    Frame,
+    Refused,
+    ResponseData,
+    ResponseEnd,
+    ResponseHead,
+)
 from ..outcomes import Outcome, Refusal
 from ..types import KEY_HEADER, HeaderList, RequestId, qualified_key
 
@@ -177,16 +185,20 @@
             return [_refused(request, stamp, failure)]
         found: list[Frame] = []
         if self._status and not progress.has_head:
-            found.append(Head(request, stamp, self._status, self._headers))
+            found.append(
+                ResponseHead(request, stamp, self._status, self._headers)
+            )
         payload = bytes(self._kept[max(0, progress.sent - self._dropped) :])
         if payload:
-            found.append(Part(request, self.length - len(payload), payload))
+            found.append(
+                ResponseData(request, self.length - len(payload), payload)
+            )
         if self._whole:
             digest = self._digest.intdigest()
-            found.append(End(request, stamp, self.length, digest))
+            found.append(ResponseEnd(request, stamp, self.length, digest))
         if failure is not None:
             found.append(
-                Broken(request, stamp, failure.reason.value, failure.detail),
+                Failed(request, stamp, failure.reason.value, failure.detail),
             )
         return found
 
--- a/tests/build.py
+++ b/tests/build.py
@@ -9,8 +9,8 @@
 
 from amaranthrail.frames import Dispatch, Heartbeat
 from amaranthrail.records import (
+    AttemptState,
     Conclusion,
-    FilingState,
     Intent,
     ManifestChange,
     ManifestSnapshot,
@@ -59,7 +59,7 @@
     return Intent(**{**fields, **changes})
 
 
-def conclusion(key: str, name: str, state: FilingState) -> Conclusion:
+def conclusion(key: str, name: str, state: AttemptState) -> Conclusion:
     return Conclusion(key=key, intent=name, state=state)
 
 
@@ -69,7 +69,7 @@
         'incarnation': incarnation,
         'stamp': 0,
         'clock': 0.0,
-        'manifest': 0,
+        'manifest_version': 0,
         'organisation': 'o',
         'method': 'POST',
         'target': '/',
@@ -84,5 +84,11 @@
 def make_heartbeat(**told: Any) -> Heartbeat:
     """Return a sidecar's heartbeat that tells a load."""
     return Heartbeat(
-        **{'stamp': 0, 'clock': 0.0, 'manifest': 1, 'drains': 0, **told}
+        **{
+            'stamp': 0,
+            'clock': 0.0,
+            'manifest_version': 1,
+            'drains_version': 0,
+            **told,
+        }
     )
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -13,8 +13,8 @@
 )
 
 from amaranthrail.clock import Clock
+from amaranthrail.configpulls import PULL_RETRY_MS, PullLimiter
 from amaranthrail.configuration import Configuration
-from amaranthrail.pulls import ASK_AGAIN_MS, Pulls
 from amaranthrail.records import CONTROL_STREAM, Drain, encode_record
 
 from . import build
@@ -35,7 +35,7 @@
         log.put(CONTROL_STREAM, encode_record(build.change(name, 0)))
     reader = Configuration()
     _read(log, reader)
-    verdicts = [reader.verdict(name) for name in ('one', 'two', 'three')]
+    verdicts = [reader.publish_result(name) for name in ('one', 'two', 'three')]
     assert [one and one.accepted for one in verdicts] == [True, False, False]
     assert {one and one.version for one in verdicts} == {1}
     assert reader.version == 1
@@ -48,7 +48,7 @@
         log.put(CONTROL_STREAM, text)
     reader = Configuration()
     _read(log, reader)
-    verdict = reader.verdict('one')
+    verdict = reader.publish_result('one')
     assert verdict is not None
     assert verdict.accepted
     assert reader.version == 1
@@ -60,7 +60,7 @@
     log.put(CONTROL_STREAM, good.replace(b'"format"', b'"farmat"'))
     reader = Configuration()
     _read(log, reader)
-    verdict = reader.verdict('bad')
+    verdict = reader.publish_result('bad')
     assert verdict is not None
     assert 'farmat: Extra inputs' in verdict.reason
     assert reader.version == 0
@@ -88,7 +88,7 @@
     log.put(CONTROL_STREAM, encode_record(snapshot))
     reader = Configuration()
     _read(log, reader)
-    assert (reader.version, reader.skipped) == (0, 1)
+    assert (reader.version, reader.skipped_records) == (0, 1)
 
 
 def test_drains_follow_the_latest_word() -> None:
@@ -108,13 +108,13 @@
 def test_one_peer_is_asked_for_a_change() -> None:
     now_s = [10.0]
     clock = Clock(lambda: now_s[0], lambda: now_s[0])
-    pulls = Pulls(clock, Configuration())
-    assert pulls.wants(3, 0)
-    assert not any(pulls.wants(3, 0) for _ in range(4))
-    assert pulls.wants(4, 0)
-    now_s[0] += (ASK_AGAIN_MS + 1) / 1000
-    assert pulls.wants(4, 0)
-    assert not pulls.wants(0, 0)
+    pulls = PullLimiter(clock, Configuration())
+    assert pulls.should_pull(3, 0)
+    assert not any(pulls.should_pull(3, 0) for _ in range(4))
+    assert pulls.should_pull(4, 0)
+    now_s[0] += (PULL_RETRY_MS + 1) / 1000
+    assert pulls.should_pull(4, 0)
+    assert not pulls.should_pull(0, 0)
 
 
 class OneManifest(RuleBasedStateMachine):
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -21,23 +21,23 @@
 from amaranthrail.ports import LogEntry
 from amaranthrail.records import (
     AnyFact,
-    FilingBatch,
-    FilingState,
+    AttemptState,
+    FactBatch,
     encode_record,
 )
 from amaranthrail.sidecar.gate import STALE_AFTER_MS, VOID_KEPT_MS, Gate
 from amaranthrail.sidecar.run import Run
-from amaranthrail.types import FilingKey, Incarnation, Offset
+from amaranthrail.types import IdempotencyKey, Incarnation, Offset
 
 from . import build
 
 ENTRIES = 2
 KEYS = ('a', 'b')
-OPEN = FilingState.OPEN
-OPEN = FilingState.OPEN
-RAN = FilingState.RAN
-VOID = FilingState.VOID
-LOST = FilingState.LOST
+OPEN = AttemptState.OPEN
+OPEN = AttemptState.OPEN
+RAN = AttemptState.RAN
+VOID = AttemptState.VOID
+LOST = AttemptState.LOST
 
 FACTS = [
     # what the log says in order, and where the key stands then
@@ -101,18 +101,18 @@
 @pytest.mark.parametrize(('facts', 'state', 'intent'), FACTS)
 def test_facts_in_order(
     facts: list[AnyFact],
-    state: FilingState,
+    state: AttemptState,
     intent: str,
 ) -> None:
     ledger = Ledger()
 
     offset = 0
     for fact in facts:
-        text = encode_record(FilingBatch(id='x', facts=(fact,)))
+        text = encode_record(FactBatch(id='x', facts=(fact,)))
         for _ in range(2):
             offset += 1
             ledger.apply(0, LogEntry(Offset(offset), 0, text))
-    filing = ledger.find(FilingKey('a'))
+    filing = ledger.find(IdempotencyKey('a'))
     assert filing is not None
     assert (filing.state, filing.intent.id) == (state, intent)
 
@@ -146,11 +146,11 @@
         return Gate('u', incarnation, self.clock, self.configuration)
 
     def append(self, *facts: AnyFact) -> None:
-        self.log.append(encode_record(FilingBatch(id='x', facts=facts)))
+        self.log.append(encode_record(FactBatch(id='x', facts=facts)))
 
     @rule(entry=st.integers(0, ENTRIES - 1), key=st.sampled_from(KEYS))
     def claim(self, entry: int, key: str) -> None:
-        filing = self.ledgers[entry].find(FilingKey(key))
+        filing = self.ledgers[entry].find(IdempotencyKey(key))
         if filing is not None and filing.state is not VOID:
             return
         name = f'{entry}-{len(self.made)}'
@@ -186,7 +186,7 @@
     def send_dispatch(self, data: st.DataObject) -> None:
         name = data.draw(st.sampled_from(sorted(self.made)))
         entry, made_at, key = self.made[name]
-        filing = self.ledgers[entry].find(FilingKey(key))
+        filing = self.ledgers[entry].find(IdempotencyKey(key))
         if filing is None or filing.intent.id != name:
             return
         incarnation, clock = self.heard[entry]
@@ -217,9 +217,9 @@
     @rule(data=st.data(), entry=st.integers(0, ENTRIES - 1))
     def inquire(self, data: st.DataObject, entry: int) -> None:
         key = data.draw(st.sampled_from(KEYS))
-        filing = self.ledgers[entry].find(FilingKey(key))
+        filing = self.ledgers[entry].find(IdempotencyKey(key))
         current = Incarnation(f's{self.restarts}')
-        if filing is None or filing.state is not FilingState.OPEN:
+        if filing is None or filing.state is not AttemptState.OPEN:
             return
         state = LOST
         if filing.intent.incarnation == current:
@@ -252,8 +252,8 @@
     def equal_positions_mean_equal_ledgers(self) -> None:
         if self.read[0] == self.read[1]:
             for key in KEYS:
-                first = self.ledgers[0].find(FilingKey(key))
-                assert first == self.ledgers[1].find(FilingKey(key))
+                first = self.ledgers[0].find(IdempotencyKey(key))
+                assert first == self.ledgers[1].find(IdempotencyKey(key))
 
 
 AtMostOnce.TestCase.settings = settings(
