--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from amaranthrail.entry.ledger import Ledger
+from amaranthrail.entry.keytable import Ledger
 from amaranthrail.ports import LogEntry
 from amaranthrail.records import (
     Conclusion,
--- a/src/amaranthrail/entry/administration.py
+++ b/src/amaranthrail/entry/administration.py
@@ -25,7 +25,7 @@
 from ..types import FilingKey
 from .core import EntryCore
 from .filings import Filings
-from .ledger import Filing
+from .keytable import Filing
 from .peers import Peer
 
 PUBLISH_TIMEOUT_MS = 4000
--- a/src/amaranthrail/entry/conclusions.py
+++ b/src/amaranthrail/entry/conclusions.py
@@ -7,7 +7,7 @@
 from ..records import Conclusion, FilingState, Intent
 from ..runtime import Runtime
 from ..types import FilingKey
-from .ledger import Filing
+from .keytable import Filing
 from .shards import Shards
 
 MAX_KEPT_BODY_BYTES = 262_144
--- a/src/amaranthrail/entry/filings.py
+++ b/src/amaranthrail/entry/filings.py
@@ -17,7 +17,7 @@
 from .conclusions import Answer, Conclusions, key_reused, recorded_answer
 from .core import EntryCore
 from .inquiries import Inquiries
-from .ledger import Filing
+from .keytable import Filing
 from .peers import Peer
 from .settlement import RECORD_WAIT_MS, Settlement
 
--- a/src/amaranthrail/entry/settlement.py
+++ b/src/amaranthrail/entry/settlement.py
@@ -12,7 +12,7 @@
 from .conclusions import Answer, Conclusions, recorded_answer
 from .core import EntryCore
 from .inquiries import ASK_TIMEOUT_MS, Inquiries
-from .ledger import Filing
+from .keytable import Filing
 
 #: How long an intent or a void may take to appear in the log.
 RECORD_WAIT_MS = 4000.0
--- a/src/amaranthrail/entry/shards.py
+++ b/src/amaranthrail/entry/shards.py
@@ -19,7 +19,7 @@
     shard_stream,
 )
 from ..types import FilingKey
-from .ledger import Ledger
+from .keytable import Ledger
 
 _REPEAT_MS = 200
 _MAX_BATCH_FACTS = 512
--- a/src/amaranthrail/entry/upkeep.py
+++ b/src/amaranthrail/entry/upkeep.py
@@ -17,7 +17,7 @@
     new_record_id,
 )
 from ..runtime import Runtime
-from .ledger import Filing
+from .keytable import Filing
 from .shards import Shards
 
 _CHECK_MS = 500.0
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -15,7 +15,7 @@
 from amaranthrail.clock import Clock
 from amaranthrail.configuration import Configuration
 from amaranthrail.entry.filings import MAX_CLAIM_MS
-from amaranthrail.entry.ledger import Ledger
+from amaranthrail.entry.keytable import Ledger
 from amaranthrail.frames import Dispatch
 from amaranthrail.outcomes import Refusal
 from amaranthrail.ports import LogEntry
