--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from amaranthrail.entry.keytable import Ledger
+from amaranthrail.entry.keytable import KeyTable
 from amaranthrail.ports import LogEntry
 from amaranthrail.records import (
     Conclusion,
@@ -159,7 +159,7 @@
     """Return the memory of a key and the time to read a shard again."""
     records = [_record(start) for start in range(0, KEYS, BATCH)]
     tracemalloc.start()
-    ledger = Ledger()
+    ledger = KeyTable()
     entries = [
         LogEntry(Offset(number + 1), 0, text)
         for number, text in enumerate(records)
@@ -170,7 +170,7 @@
     used = tracemalloc.get_traced_memory()[0] - held
     tracemalloc.stop()
     began = time.perf_counter()
-    again = Ledger()
+    again = KeyTable()
     for entry in entries:
         again.apply(0, entry)
     took = time.perf_counter() - began
--- a/src/amaranthrail/entry/keytable.py
+++ b/src/amaranthrail/entry/keytable.py
@@ -35,7 +35,7 @@
     resolution: Resolution | None = None
 
 
-class Ledger:
+class KeyTable:
     """Apply facts in log order; the result is the same at every entry.
 
     Rules: the first intent for a key claims it. Another intent counts only
--- a/src/amaranthrail/entry/shards.py
+++ b/src/amaranthrail/entry/shards.py
@@ -19,7 +19,7 @@
     shard_stream,
 )
 from ..types import FilingKey
-from .keytable import Ledger
+from .keytable import KeyTable
 
 _REPEAT_MS = 200
 _MAX_BATCH_FACTS = 512
@@ -37,7 +37,7 @@
         self,
         number: int,
         log: LogPort,
-        ledger: Ledger,
+        ledger: KeyTable,
         clock: Clock,
         interval_ms: float,
     ) -> None:
@@ -139,14 +139,14 @@
         interval_ms: float,
     ) -> None:
         """Take the number of shards, the same at every entry."""
-        self._ledger = Ledger()
+        self._ledger = KeyTable()
         self._shards = [
             Shard(number, log, self._ledger, clock, interval_ms)
             for number in range(count)
         ]
 
     @property
-    def ledger(self) -> Ledger:
+    def ledger(self) -> KeyTable:
         """Return what the shards say."""
         return self._ledger
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -15,7 +15,7 @@
 from amaranthrail.clock import Clock
 from amaranthrail.configuration import Configuration
 from amaranthrail.entry.filings import MAX_CLAIM_MS
-from amaranthrail.entry.keytable import Ledger
+from amaranthrail.entry.keytable import KeyTable
 from amaranthrail.frames import Dispatch
 from amaranthrail.outcomes import Refusal
 from amaranthrail.ports import LogEntry
@@ -104,7 +104,7 @@
     state: FilingState,
     intent: str,
 ) -> None:
-    ledger = Ledger()
+    ledger = KeyTable()
 
     offset = 0
     for fact in facts:
@@ -125,7 +125,7 @@
         self.now_ms = 0.0
         self.clock = Clock(self.now_s, self.now_s)
         self.log: list[bytes] = []
-        self.ledgers = [Ledger() for _ in range(ENTRIES)]
+        self.ledgers = [KeyTable() for _ in range(ENTRIES)]
         self.read = [0 for _ in range(ENTRIES)]
         #: Intents by id: the entry that made each, its time and its key.
         self.made: dict[str, tuple[int, float, str]] = {}
