--- a/src/amaranthrail/entry/administration.py
+++ b/src/amaranthrail/entry/administration.py
@@ -25,7 +25,7 @@
 from ..types import FilingKey
 from .core import EntryCore
 from .filings import Filings
-from .keytable import Filing
+from .keytable import KeyRecord
 from .peers import Peer
 
 PUBLISH_TIMEOUT_MS = 4000
@@ -296,7 +296,7 @@
     }
 
 
-def _lost_entry(filing: Filing) -> dict[str, object]:
+def _lost_entry(filing: KeyRecord) -> dict[str, object]:
     return {
         'key': filing.intent.key,
         'operation': filing.intent.operation,
--- a/src/amaranthrail/entry/conclusions.py
+++ b/src/amaranthrail/entry/conclusions.py
@@ -7,7 +7,7 @@
 from ..records import Conclusion, FilingState, Intent
 from ..runtime import Runtime
 from ..types import FilingKey
-from .keytable import Filing
+from .keytable import KeyRecord
 from .shards import Shards
 
 MAX_KEPT_BODY_BYTES = 262_144
@@ -76,7 +76,7 @@
         self._shards.add(conclusion)
 
 
-def recorded_answer(filing: Filing) -> Answer:
+def recorded_answer(filing: KeyRecord) -> Answer:
     """Return the answer that the record holds for a key."""
     conclusion = filing.conclusion
     if filing.resolution is not None:
--- a/src/amaranthrail/entry/filings.py
+++ b/src/amaranthrail/entry/filings.py
@@ -17,7 +17,7 @@
 from .conclusions import Answer, Conclusions, key_reused, recorded_answer
 from .core import EntryCore
 from .inquiries import Inquiries
-from .keytable import Filing
+from .keytable import KeyRecord
 from .peers import Peer
 from .settlement import RECORD_WAIT_MS, Settlement
 
@@ -192,7 +192,7 @@
             return known
         return not_run(Reason.LOG_UNAVAILABLE, detail, int(MS_PER_SECOND))
 
-    async def _attach(self, filing: Filing, digest: str) -> Answer:
+    async def _attach(self, filing: KeyRecord, digest: str) -> Answer:
         """Return what became of an attempt that was claimed before."""
         if filing.intent.digest != digest:
             return key_reused(FilingKey(filing.intent.key))
@@ -255,7 +255,9 @@
             operation=call.operation_name,
         )
 
-    async def _wait_claimed(self, intent: Intent, call: Call) -> Filing | None:
+    async def _wait_claimed(
+        self, intent: Intent, call: Call
+    ) -> KeyRecord | None:
         """Return who holds the key once the intent's place is known."""
         with move_on_after(self._record_wait_ms(call)):
             while True:
--- a/src/amaranthrail/entry/keytable.py
+++ b/src/amaranthrail/entry/keytable.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Filing:
+class KeyRecord:
     """Hold where one key stands after the records read so far.
 
     ``offset`` is that of the latest record about the key in its shard.
@@ -45,8 +45,8 @@
 
     def __init__(self) -> None:
         """Start with no key known."""
-        self._filings: dict[FilingKey, Filing] = {}
-        self._pending: dict[FilingKey, Filing] = {}
+        self._filings: dict[FilingKey, KeyRecord] = {}
+        self._pending: dict[FilingKey, KeyRecord] = {}
         self._kept_from: dict[int, int] = {}
         self._skipped = 0
         self._contradictions = 0
@@ -67,15 +67,15 @@
         """Return how many keys are known."""
         return len(self._filings)
 
-    def find(self, key: FilingKey) -> Filing | None:
+    def find(self, key: FilingKey) -> KeyRecord | None:
         """Return where a key stands, None for one never seen."""
         return self._filings.get(key)
 
-    def open(self) -> list[Filing]:
+    def open(self) -> list[KeyRecord]:
         """Return the keys whose outcome is not known yet."""
         return self._in_state(FilingState.OPEN)
 
-    def lost(self) -> list[Filing]:
+    def lost(self) -> list[KeyRecord]:
         """Return the keys whose outcome cannot be known."""
         return self._in_state(FilingState.LOST)
 
@@ -109,7 +109,7 @@
             del self._filings[key]
             self._pending.pop(key, None)
 
-    def _in_state(self, state: FilingState) -> list[Filing]:
+    def _in_state(self, state: FilingState) -> list[KeyRecord]:
         return [one for one in self._pending.values() if one.state is state]
 
     def _apply_fact(self, shard: int, entry: LogEntry, fact: AnyFact) -> None:
@@ -125,7 +125,7 @@
         if fresh is not None:
             self._keep(key, fresh)
 
-    def _keep(self, key: FilingKey, fresh: Filing) -> None:
+    def _keep(self, key: FilingKey, fresh: KeyRecord) -> None:
         self._filings[key] = fresh
         if fresh.state in {FilingState.OPEN, FilingState.LOST}:
             self._pending[key] = fresh
@@ -134,10 +134,10 @@
 
     def _after_conclusion(
         self,
-        known: Filing | None,
+        known: KeyRecord | None,
         fact: Conclusion,
         entry: LogEntry,
-    ) -> Filing | None:
+    ) -> KeyRecord | None:
         if known is None or known.intent.id != fact.intent:
             return None
         if known.state is fact.state and known.state is not FilingState.LOST:
@@ -150,11 +150,11 @@
 
 
 def _after_intent(
-    known: Filing | None,
+    known: KeyRecord | None,
     fact: Intent,
     shard: int,
     entry: LogEntry,
-) -> Filing | None:
+) -> KeyRecord | None:
     if known is not None and known.intent.id == fact.id:
         # Written again before retention drops it, or an append repeated.
         return _moved(known, known.state, entry)
@@ -162,7 +162,7 @@
     claimed = known is not None and known.state is not FilingState.VOID
     if claimed or (known is not None and fact.attempt != expected):
         return None
-    return Filing(
+    return KeyRecord(
         fact,
         FilingState.OPEN,
         shard,
@@ -172,10 +172,10 @@
 
 
 def _after_resolution(
-    known: Filing | None,
+    known: KeyRecord | None,
     fact: Resolution,
     entry: LogEntry,
-) -> Filing | None:
+) -> KeyRecord | None:
     if known is None or known.intent.id != fact.intent:
         return None
     if known.state is not FilingState.LOST:
@@ -184,13 +184,13 @@
 
 
 def _moved(
-    known: Filing,
+    known: KeyRecord,
     state: FilingState,
     entry: LogEntry,
     conclusion: Conclusion | None = None,
     resolution: Resolution | None = None,
-) -> Filing:
-    return Filing(
+) -> KeyRecord:
+    return KeyRecord(
         known.intent,
         state,
         known.shard,
--- a/src/amaranthrail/entry/settlement.py
+++ b/src/amaranthrail/entry/settlement.py
@@ -12,7 +12,7 @@
 from .conclusions import Answer, Conclusions, recorded_answer
 from .core import EntryCore
 from .inquiries import ASK_TIMEOUT_MS, Inquiries
-from .keytable import Filing
+from .keytable import KeyRecord
 
 #: How long an intent or a void may take to appear in the log.
 RECORD_WAIT_MS = 4000.0
@@ -37,7 +37,7 @@
         self._conclusions = conclusions
         self._inquiries = inquiries
 
-    def is_overdue(self, filing: Filing) -> bool:
+    def is_overdue(self, filing: KeyRecord) -> bool:
         """Tell whether nobody has concluded an open key in time."""
         # Entries take turns, so that one settles while the others look on.
         turn = rendezvous(filing.intent.id, self._runtime.incarnation)
--- a/src/amaranthrail/entry/upkeep.py
+++ b/src/amaranthrail/entry/upkeep.py
@@ -17,7 +17,7 @@
     new_record_id,
 )
 from ..runtime import Runtime
-from .keytable import Filing
+from .keytable import KeyRecord
 from .shards import Shards
 
 _CHECK_MS = 500.0
@@ -85,7 +85,7 @@
             renewed[intent] = queued
         self._renewed = renewed
 
-    def _renew(self, filing: Filing) -> None:
+    def _renew(self, filing: KeyRecord) -> None:
         self._shards.add(filing.intent)
         if filing.conclusion is not None:
             self._shards.add(filing.conclusion)
