--- a/src/amaranthrail/entry/administration.py
+++ b/src/amaranthrail/entry/administration.py
@@ -24,7 +24,7 @@
 from ..timeline import Event, merge_events
 from ..types import FilingKey
 from .core import EntryCore
-from .filings import Filings
+from .keyedrequests import Filings
 from .keytable import KeyRecord
 from .peers import Peer
 
--- a/src/amaranthrail/entry/callers.py
+++ b/src/amaranthrail/entry/callers.py
@@ -18,8 +18,8 @@
 from ..types import KEY_HEADER
 from .call import Call
 from .core import EntryCore
-from .filings import Filings
 from .forward import answer_headers, forward
+from .keyedrequests import Filings
 from .routes import MODEL_PATHS, Route, RouteTable
 
 _MAX_DEADLINE_MS = 3_600_000
--- a/src/amaranthrail/entry/service.py
+++ b/src/amaranthrail/entry/service.py
@@ -21,7 +21,7 @@
 from .administration import Administration, AdminParts
 from .callers import Callers
 from .core import EntryCore
-from .filings import Filings
+from .keyedrequests import Filings
 from .peers import make_access
 from .roster import Roster
 from .shards import Shards
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -14,7 +14,7 @@
 
 from amaranthrail.clock import Clock
 from amaranthrail.configuration import Configuration
-from amaranthrail.entry.filings import MAX_CLAIM_MS
+from amaranthrail.entry.keyedrequests import MAX_CLAIM_MS
 from amaranthrail.entry.keytable import KeyTable
 from amaranthrail.frames import Dispatch
 from amaranthrail.outcomes import Refusal
