--- a/src/amaranthrail/entry/administration.py
+++ b/src/amaranthrail/entry/administration.py
@@ -24,7 +24,7 @@
 from ..timeline import Event, merge_events
 from ..types import FilingKey
 from .core import EntryCore
-from .keyedrequests import Filings
+from .keyedrequests import KeyedRequests
 from .keytable import KeyRecord
 from .peers import Peer
 
@@ -60,7 +60,7 @@
     """Hold what the administration API shows and changes."""
 
     core: EntryCore
-    filings: Filings
+    filings: KeyedRequests
     control: Follower
     log: LogPort
 
--- a/src/amaranthrail/entry/callers.py
+++ b/src/amaranthrail/entry/callers.py
@@ -19,7 +19,7 @@
 from .call import Call
 from .core import EntryCore
 from .forward import answer_headers, forward
-from .keyedrequests import Filings
+from .keyedrequests import KeyedRequests
 from .routes import MODEL_PATHS, Route, RouteTable
 
 _MAX_DEADLINE_MS = 3_600_000
@@ -30,7 +30,7 @@
 class Callers:
     """Serve the callers' port of one entry."""
 
-    def __init__(self, core: EntryCore, filings: Filings) -> None:
+    def __init__(self, core: EntryCore, filings: KeyedRequests) -> None:
         """Take the entry's parts."""
         self._core = core
         self._filings = filings
--- a/src/amaranthrail/entry/keyedrequests.py
+++ b/src/amaranthrail/entry/keyedrequests.py
@@ -45,7 +45,7 @@
     deadline: float = 0
 
 
-class Filings:
+class KeyedRequests:
     """Own the keyed work of one entry."""
 
     def __init__(self, core: EntryCore, nursery: trio.Nursery) -> None:
--- a/src/amaranthrail/entry/service.py
+++ b/src/amaranthrail/entry/service.py
@@ -21,7 +21,7 @@
 from .administration import Administration, AdminParts
 from .callers import Callers
 from .core import EntryCore
-from .keyedrequests import Filings
+from .keyedrequests import KeyedRequests
 from .peers import make_access
 from .roster import Roster
 from .shards import Shards
@@ -92,7 +92,7 @@
         self._runtime.timeline.add('started')
         _log.info('serving callers')
         async with trio.open_nursery() as nursery:
-            filings = Filings(self._core, nursery)
+            filings = KeyedRequests(self._core, nursery)
             for task in (
                 self._control.run,
                 self._roster.run,
@@ -119,7 +119,7 @@
     async def _listen_callers(
         self,
         listeners: list[trio.SocketListener],
-        filings: Filings,
+        filings: KeyedRequests,
     ) -> None:
         callers = Callers(self._core, filings)
         state = self._callers_state
@@ -146,7 +146,7 @@
     async def _listen_admin(
         self,
         listeners: list[trio.SocketListener],
-        filings: Filings,
+        filings: KeyedRequests,
     ) -> None:
         administration = Administration(
             AdminParts(self._core, filings, self._control, self._log_service),
@@ -158,7 +158,7 @@
 
         await trio.serve_listeners(serve, listeners)
 
-    async def _leave(self, filings: Filings) -> None:
+    async def _leave(self, filings: KeyedRequests) -> None:
         self._core.leave()
         self._callers_state.close()
         self._runtime.timeline.add('leaving')
@@ -166,7 +166,7 @@
         while self._is_busy(filings):
             await sleep(_CHECK_MS)
 
-    def _is_busy(self, filings: Filings) -> bool:
+    def _is_busy(self, filings: KeyedRequests) -> bool:
         return bool(
             self._callers_state.active
             or filings.in_progress
