--- a/src/amaranthrail/entry/core.py
+++ b/src/amaranthrail/entry/core.py
@@ -15,9 +15,9 @@
 from ..settings import EntrySettings
 from .call import Call
 from .peers import Peer
-from .roster import Roster
 from .routes import RouteTable
 from .shards import Shards
+from .upstreampool import Roster
 
 _NO_REPLICA_RETRY_MS = 1000
 _DEFAULT_RETRY_SHARE = 0.1
--- a/src/amaranthrail/entry/service.py
+++ b/src/amaranthrail/entry/service.py
@@ -23,9 +23,9 @@
 from .core import EntryCore
 from .keyedrequests import KeyedRequests
 from .peers import make_access
-from .roster import Roster
 from .shards import Shards
 from .upkeep import Upkeep
+from .upstreampool import Roster
 
 _CHECK_MS = 20.0
 _MAX_MANIFEST_BYTES = 4 * 1024 * 1024
