--- a/src/amaranthrail/entry/core.py
+++ b/src/amaranthrail/entry/core.py
@@ -17,7 +17,7 @@
 from .peers import Peer
 from .routes import RouteTable
 from .shards import Shards
-from .upstreampool import Roster
+from .upstreampool import UpstreamPool
 
 _NO_REPLICA_RETRY_MS = 1000
 _DEFAULT_RETRY_SHARE = 0.1
@@ -42,7 +42,7 @@
         self,
         runtime: Runtime,
         settings: EntrySettings,
-        roster: Roster,
+        roster: UpstreamPool,
         shards: Shards,
     ) -> None:
         """Take the parts that calls use."""
@@ -67,7 +67,7 @@
         return self._settings
 
     @property
-    def roster(self) -> Roster:
+    def roster(self) -> UpstreamPool:
         """Return the peers."""
         return self._roster
 
--- a/src/amaranthrail/entry/service.py
+++ b/src/amaranthrail/entry/service.py
@@ -25,7 +25,7 @@
 from .peers import make_access
 from .shards import Shards
 from .upkeep import Upkeep
-from .upstreampool import Roster
+from .upstreampool import UpstreamPool
 
 _CHECK_MS = 20.0
 _MAX_MANIFEST_BYTES = 4 * 1024 * 1024
@@ -43,7 +43,7 @@
             DomainName(settings.domain),
         )
         self._log_service = HttpLog(settings.platform)
-        self._roster = Roster(
+        self._roster = UpstreamPool(
             make_access(self._runtime, settings, self._peer_tls()),
             HttpHostList(settings.platform),
         )
--- a/src/amaranthrail/entry/upstreampool.py
+++ b/src/amaranthrail/entry/upstreampool.py
@@ -14,7 +14,7 @@
 _log = part_logger('roster')
 
 
-class Roster:
+class UpstreamPool:
     """Own the peers of one entry."""
 
     def __init__(self, access: PeerAccess, hosts: HostListPort) -> None:
