--- a/src/amaranthrail/entry/service.py
+++ b/src/amaranthrail/entry/service.py
@@ -23,8 +23,8 @@
 from .core import EntryCore
 from .keyedrequests import KeyedRequests
 from .peers import make_access
+from .renewal import Upkeep
 from .shards import Shards
-from .upkeep import Upkeep
 from .upstreampool import UpstreamPool
 
 _CHECK_MS = 20.0
