--- a/src/amaranthrail/entry/renewal.py
+++ b/src/amaranthrail/entry/renewal.py
@@ -27,7 +27,7 @@
 _log = part_logger('upkeep')
 
 
-class Upkeep:
+class RecordRenewal:
     """Renew the manifest in force and the lost list."""
 
     def __init__(
--- a/src/amaranthrail/entry/service.py
+++ b/src/amaranthrail/entry/service.py
@@ -23,7 +23,7 @@
 from .core import EntryCore
 from .keyedrequests import KeyedRequests
 from .peers import make_access
-from .renewal import Upkeep
+from .renewal import RecordRenewal
 from .shards import Shards
 from .upstreampool import UpstreamPool
 
@@ -64,7 +64,7 @@
             self._roster,
             self._shards,
         )
-        self._upkeep = Upkeep(
+        self._upkeep = RecordRenewal(
             self._runtime,
             self._log_service,
             self._control,
