--- a/src/amaranthrail/entry/administration.py
+++ b/src/amaranthrail/entry/administration.py
@@ -24,8 +24,8 @@
 from ..timeline import Event, merge_events
 from ..types import IdempotencyKey
 from .core import EntryCore
-from .filings import Filings
-from .ledger import Filing
+from .keyedrequests import KeyedRequests
+from .keytable import KeyRecord
 from .peers import Peer
 
 PUBLISH_TIMEOUT_MS = 4000
@@ -60,7 +60,7 @@
     """Hold what the administration API shows and changes."""
 
     core: EntryCore
-    filings: Filings
+    filings: KeyedRequests
     control: StreamConsumer
     log: LogPort
 
@@ -297,7 +297,7 @@
     }
 
 
-def _lost_entry(filing: Filing) -> dict[str, object]:
+def _lost_entry(filing: KeyRecord) -> dict[str, object]:
     return {
         'key': filing.intent.key,
         'operation': filing.intent.operation,
