--- a/src/amaranthrail/direct/service.py
+++ b/src/amaranthrail/direct/service.py
@@ -20,7 +20,7 @@
 from ..clock import Clock, move_on_after, sleep
 from ..logs import part_logger
 from ..metrics import Metrics
-from ..ranks.keeper import MakeRank, MapKeeper
+from ..ranks.controller import MakeRank, MapKeeper
 from .attempt import Attempts
 from .callers import Callers
 from .departure import Departure
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -28,7 +28,7 @@
     RETURN_SPREAD_MS,
     return_after,
 )
-from amaranthrail.ranks.keeper import CYCLE_MS
+from amaranthrail.ranks.controller import CYCLE_MS
 
 GAP_MS = 120.0
 #: Bounds on repeats, as the users' sheets state them.
