--- a/src/amaranthrail/direct/service.py
+++ b/src/amaranthrail/direct/service.py
@@ -20,7 +20,7 @@
 from ..clock import Clock, move_on_after, sleep
 from ..logs import part_logger
 from ..metrics import Metrics
-from ..ranks.controller import MakeRank, MapKeeper
+from ..ranks.controller import MakeRank, MapController
 from .attempt import Attempts
 from .callers import Callers
 from .departure import Departure
@@ -97,7 +97,7 @@
             self._loads,
             self._members,
         )
-        self._maps = MapKeeper(
+        self._maps = MapController(
             self._world,
             self._members.check_lead,
             make_rank,
--- a/src/amaranthrail/ranks/controller.py
+++ b/src/amaranthrail/ranks/controller.py
@@ -31,7 +31,7 @@
 MakeRank = Callable[[Address], RankPort]
 
 
-class MapKeeper:
+class MapController:
     """Lead the group of each service that has expert maps."""
 
     def __init__(
