--- a/src/amaranthrail/platform/program.py
+++ b/src/amaranthrail/platform/program.py
@@ -30,7 +30,7 @@
 #: Time between two looks at the settings file, in ms.
 SETTINGS_INTERVAL_MS = 1000.0
 _log = part_logger('settings')
-DIALECT = Dialect(
+WIRE_FORMAT = Dialect(
     configuration_key='config',
     read_call=headers.read_call,
     request_headers=headers.request_headers,
@@ -60,7 +60,7 @@
     entry = DirectEntry(
         settings,
         PlatformStore(settings.store),
-        DIALECT,
+        WIRE_FORMAT,
         HttpRank,
     )
     trio.run(partial(_run, entry, path, writer))
--- a/tests/platformbench.py
+++ b/tests/platformbench.py
@@ -12,7 +12,7 @@
 
 from amaranthrail.adapters.httpclient import Address, HttpAnswer, HttpClient
 from amaranthrail.direct.service import DirectEntry
-from amaranthrail.platform.program import DIALECT
+from amaranthrail.platform.program import WIRE_FORMAT
 from amaranthrail.platform.ranks import HttpRank
 from amaranthrail.platform.settings import parse_settings
 from amaranthrail.platform.store import PlatformStore
@@ -76,7 +76,7 @@
         lines = [f'{name}={given}' for name, given in fields.items()]
         settings = parse_settings('\n'.join((SETTINGS, *lines)))
         store = PlatformStore(settings.store)
-        entry = DirectEntry(settings, store, DIALECT, HttpRank)
+        entry = DirectEntry(settings, store, WIRE_FORMAT, HttpRank)
         self._nursery.start_soon(entry.run)
         return RunningEntry(entry, settings.callers)
 
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -23,7 +23,7 @@
     UpstreamSync,
 )
 from amaranthrail.direct.world import World
-from amaranthrail.platform.program import DIALECT
+from amaranthrail.platform.program import WIRE_FORMAT
 
 from .platformbuild import upstream_record
 
@@ -79,7 +79,7 @@
 ) -> None:
     async def main() -> None:
         clock = Clock(trio.current_time)
-        world = World(clock, DIALECT)
+        world = World(clock, WIRE_FORMAT)
         contact = StoreContact(clock)
         store = ScriptedStore(answers)
         follower = TopicFollower(store, Topic.UPSTREAMS, contact)
