--- a/src/amaranthrail/direct/service.py
+++ b/src/amaranthrail/direct/service.py
@@ -257,6 +257,6 @@
                 break
             await sleep(_CHECK_MS)
         with move_on_after(last - self._clock.now()):
-            await self._maps.finish()
+            await self._maps.wait_until_idle()
         if self._state.active:
             _log.warning('calls cut at the end', active=self._state.active)
--- a/src/amaranthrail/ranks/controller.py
+++ b/src/amaranthrail/ranks/controller.py
@@ -60,7 +60,7 @@
                 async with self._turn:
                     await self._look_at_all(deployment)
 
-    async def finish(self) -> None:
+    async def wait_until_idle(self) -> None:
         """Return once no change of a map is in progress here."""
         async with self._turn:
             _log.info('maps left to others')
