--- a/tests/platformbench.py
+++ b/tests/platformbench.py
@@ -129,7 +129,7 @@
         nursery.cancel_scope.cancel()
 
 
-def on_platform(
+def run_on_platform(
     scenario: Callable[[PlatformBench], Awaitable[None]],
 ) -> None:
     """Run a scenario on a bench of its own."""
--- a/tests/test_direct_path.py
+++ b/tests/test_direct_path.py
@@ -14,7 +14,7 @@
 from standins.platformfleet import listen
 from standins.replica import EVENTS, Behaviour
 
-from .platformbench import PlatformBench, on_platform, until
+from .platformbench import PlatformBench, run_on_platform, until
 from .platformbuild import configuration, route
 
 PLAIN_READ = route('read', 'idempotent', 'plain')
@@ -46,7 +46,7 @@
         streamed = await entry.call('/stream/1', 'POST')
         assert (streamed.status, streamed.body) == (200, WHOLE_STREAM)
 
-    on_platform(scenario)
+    run_on_platform(scenario)
 
 
 @pytest.mark.parametrize(
@@ -70,7 +70,7 @@
         assert (await entry.call(path, **headers)).status == status
         assert not replica.ran
 
-    on_platform(scenario)
+    run_on_platform(scenario)
 
 
 @pytest.mark.parametrize(
@@ -91,7 +91,7 @@
         assert answer.status in {502, 504}
         assert sum(len(one.ran) for one in bench.replicas.values()) == 1
 
-    on_platform(scenario)
+    run_on_platform(scenario)
 
 
 @pytest.mark.parametrize(
@@ -111,7 +111,7 @@
         answer = await entry.call('/read/1')
         assert (answer.status, answer.body) == (200, b'p2 did /read/1')
 
-    on_platform(scenario)
+    run_on_platform(scenario)
 
 
 def test_a_call_that_has_not_run_says_so() -> None:
@@ -124,7 +124,7 @@
         assert answer.status == 503
         assert 0 < float(answer.header('retry-after') or '0') < 2
 
-    on_platform(scenario)
+    run_on_platform(scenario)
 
 
 def test_a_call_at_its_deadline_is_answered_then() -> None:
@@ -139,7 +139,7 @@
         assert answer.status == 504
         await until(lambda: replica.cancelled == 1)
 
-    on_platform(scenario)
+    run_on_platform(scenario)
 
 
 @pytest.mark.parametrize(
@@ -159,7 +159,7 @@
         assert answer.header('replica-signature') == 'signed-e1'
         assert good.ran[0].header('last-event-id') == '2'
 
-    on_platform(scenario)
+    run_on_platform(scenario)
 
 
 def test_a_stream_that_cannot_go_on_never_looks_complete() -> None:
@@ -171,7 +171,7 @@
         with pytest.raises(HttpError):
             await entry.call('/stream/1', 'POST')
 
-    on_platform(scenario)
+    run_on_platform(scenario)
 
 
 def test_work_ends_when_its_caller_has_gone() -> None:
@@ -184,7 +184,7 @@
             await entry.call('/stream/1', 'POST')
         await until(lambda: replica.cancelled == 1, bound_s=1)
 
-    on_platform(scenario)
+    run_on_platform(scenario)
 
 
 def test_a_leaving_replica_gets_no_more_calls() -> None:
@@ -200,7 +200,7 @@
         answer = await entry.call('/read/1')
         assert answer.status == 503
 
-    on_platform(scenario)
+    run_on_platform(scenario)
 
 
 def test_a_replaced_replica_is_not_asked_twice() -> None:
@@ -214,7 +214,7 @@
         assert replica.refused == 1
         assert not replica.ran
 
-    on_platform(scenario)
+    run_on_platform(scenario)
 
 
 def test_a_newer_configuration_is_in_force_at_once() -> None:
@@ -231,7 +231,7 @@
         assert (await entry.call('/fresh/1')).status == 200
         assert (await entry.call('/read/1')).status == 404
 
-    on_platform(scenario)
+    run_on_platform(scenario)
 
 
 def test_history_that_has_gone_is_read_anew() -> None:
@@ -245,7 +245,7 @@
         bench.log.fault = StoreFault.NONE
         await until(lambda: entry.entry.world.version == 9)
 
-    on_platform(scenario)
+    run_on_platform(scenario)
 
 
 @pytest.mark.parametrize(
@@ -263,7 +263,7 @@
         await second.until_ready()
         assert (await second.call('/read/1')).status == 200
 
-    on_platform(scenario)
+    run_on_platform(scenario)
 
 
 def test_an_entry_whose_read_was_lost_learns_a_version_from_others() -> None:
@@ -287,7 +287,7 @@
             await until(lambda: second.entry.world.version == 9, bound_s=2)
             nursery.cancel_scope.cancel()
 
-    on_platform(scenario)
+    run_on_platform(scenario)
 
 
 def test_an_entry_that_knows_nothing_is_not_ready() -> None:
@@ -298,7 +298,7 @@
         assert not entry.entry.ready
         assert (await entry.call('/read/1')).status == 503
 
-    on_platform(scenario)
+    run_on_platform(scenario)
 
 
 def test_leaving_answers_what_has_been_read() -> None:
@@ -322,7 +322,7 @@
         assert late.status == 200
         assert late.header('connection') == 'close'
 
-    on_platform(scenario)
+    run_on_platform(scenario)
 
 
 def test_callers_that_still_come_to_a_leaving_entry_are_answered() -> None:
@@ -351,7 +351,7 @@
         assert (refused.status, len(slow.ran)) == (503, 1)
         assert refused.header('retry-after') == '0.000'
 
-    on_platform(scenario)
+    run_on_platform(scenario)
 
 
 def test_bytes_beyond_ascii_pass_unchanged() -> None:
@@ -363,7 +363,7 @@
         assert answer.status == 200
         assert replica.ran[0].header('x-note') == 'caf\xe9'
 
-    on_platform(scenario)
+    run_on_platform(scenario)
 
 
 @pytest.mark.parametrize('silent_from', ['begin', 'third event'])
@@ -405,4 +405,4 @@
         assert (answer.status, answer.body) == (200, WHOLE_STREAM)
         assert silent.cancelled
 
-    on_platform(scenario)
+    run_on_platform(scenario)
--- a/tests/test_lead.py
+++ b/tests/test_lead.py
@@ -6,7 +6,7 @@
 
 from standins.keyedlog import StoreFault
 
-from .platformbench import PlatformBench, RunningEntry, on_platform, until
+from .platformbench import PlatformBench, RunningEntry, run_on_platform, until
 
 
 async def start_two(bench: PlatformBench) -> tuple[RunningEntry, RunningEntry]:
@@ -29,7 +29,7 @@
         await trio.sleep(3)
         assert (first.entry.leading, second.entry.leading) == (True, False)
 
-    on_platform(scenario)
+    run_on_platform(scenario)
 
 
 def test_the_lead_passes_on_during_an_outage() -> None:
@@ -41,7 +41,7 @@
         await until(lambda: second.entry.leading)
         assert not first.entry.leading
 
-    on_platform(scenario)
+    run_on_platform(scenario)
 
 
 def test_an_entry_that_starts_takes_no_lead_from_another() -> None:
@@ -52,7 +52,7 @@
             assert not second.entry.leading
         assert first.entry.leading
 
-    on_platform(scenario)
+    run_on_platform(scenario)
 
 
 def test_what_is_known_outlasts_a_restart_of_all_entries() -> None:
@@ -77,4 +77,4 @@
         await third.until_ready()
         assert (await third.call('/read/1')).status == 200
 
-    on_platform(scenario)
+    run_on_platform(scenario)
