--- a/src/amaranthrail/direct/service.py
+++ b/src/amaranthrail/direct/service.py
@@ -20,7 +20,7 @@
 from ..clock import Clock, move_on_after, sleep
 from ..logs import part_logger
 from ..metrics import Metrics
-from ..ranks.keeper import MakeRank, MapKeeper
+from ..ranks.controller import MakeRank, MapController
 from .attempt import Attempts
 from .callers import Callers
 from .calllog import CallLog
@@ -97,7 +97,7 @@
             self._loads,
             self._members,
         )
-        self._maps = MapKeeper(
+        self._maps = MapController(
             self._world,
             self._members.check_lead,
             make_rank,
@@ -257,6 +257,6 @@
                 break
             await sleep(_CHECK_MS)
         with move_on_after(last - self._clock.now()):
-            await self._maps.finish()
+            await self._maps.wait_until_idle()
         if self._state.active:
             _log.warning('calls cut at the end', active=self._state.active)
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -28,7 +28,7 @@
 )
 from amaranthrail.policy.shutdown import may_end, takes_call
 from amaranthrail.policy.windowbudget import WindowRetryBudget
-from amaranthrail.ranks.keeper import CYCLE_MS
+from amaranthrail.ranks.controller import CYCLE_MS
 
 GAP_MS = 120.0
 #: Bounds on repeats, as the users' sheets state them.
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -23,7 +23,7 @@
     TopicFollower,
     UpstreamSync,
 )
-from amaranthrail.platform.program import DIALECT
+from amaranthrail.platform.program import WIRE_FORMAT
 
 from .platformbuild import upstream_record
 
@@ -79,7 +79,7 @@
 ) -> None:
     async def main() -> None:
         clock = Clock(trio.current_time)
-        world = ClusterState(clock, DIALECT)
+        world = ClusterState(clock, WIRE_FORMAT)
         contact = StoreContact(clock)
         store = ScriptedStore(answers)
         follower = TopicFollower(store, Topic.UPSTREAMS, contact)
