--- a/src/amaranthrail/platform/ranks.py
+++ b/src/amaranthrail/platform/ranks.py
@@ -1,4 +1,4 @@
-"""Ask and order a rank of a group over the platform's HTTP interface."""
+"""Read the state of a rank and send it orders over the platform's HTTP API."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
     MapOrder,
     OrderResult,
     RankCounts,
-    RankLists,
+    RankExperts,
     RankReport,
 )
 
-#: Bound of a question and of an order, in ms. Hosts are a millisecond apart; an
-#: order that is answered late counts as one without an answer.
-CALL_TIMEOUT_MS = 250
+#: Timeouts of a read and of an order, in ms. Hosts are a millisecond apart; an
+#: order whose response comes later counts as unanswered.
+READ_TIMEOUT_MS = 250
 ORDER_TIMEOUT_MS = 120
 _HTTP_OK = 200
 _HTTP_ACCEPTED = 202
@@ -45,78 +45,82 @@
 
 class _WireReport(msgspec.Struct):
     group: _WireGroup | None = None
-    # Ranks of the group.
+    # Number of ranks in the group.
     size: int = 0
-    # The last pass that was begun.
+    # The last engine step that was begun.
     step: int = 0
-    # The version of the expert map in use.
+    # The version of the expert map in use, not the map itself.
     map: int = 0
+    # The version whose expert weights are all copied.
     prepared: int | None = None
     armed: _WireArmed | None = None
-    # The pass that does not begin until it is let go.
+    # The step that all ranks wait before until it is released.
     held: int | None = None
+    # Over 1 at a slow rank: a slowdown, not a rate.
     pace: float = 1
 
 
 class _WireCounts(msgspec.Struct):
     step: int
     epoch: int
-    # One number an expert, the sets after each other.
+    # Selections of each expert, the layer sets after each other.
     counts: list[int]
 
 
 class _WireMap(msgspec.Struct):
     version: int
-    # This rank's experts, by set.
+    # This rank's experts, by layer set.
     experts: list[list[int]]
 
 
-class _WireLists(msgspec.Struct):
+class _WireExperts(msgspec.Struct):
     epoch: int
     map: _WireMap
 
 
 _report_decoder = msgspec.json.Decoder(_WireReport)
 _counts_decoder = msgspec.json.Decoder(_WireCounts)
-_lists_decoder = msgspec.json.Decoder(_WireLists)
+_experts_decoder = msgspec.json.Decoder(_WireExperts)
 
 
 class HttpRank:
     """Implement RankPort over HTTP."""
 
     def __init__(self, address: Address) -> None:
-        """Take the rank's address."""
+        """Set the address of the rank."""
         self._client = HttpClient(address)
 
-    async def report(self) -> RankReport | None:
+    async def fetch_report(self) -> RankReport | None:
         """Return the rank's state; see RankPort."""
         wire = await self._read('/amaranthrail/report', _report_decoder)
         if wire is None or wire.group is None:
             return None
-        return _report(wire, wire.group)
+        return _to_report(wire, wire.group)
 
-    async def counts(self) -> RankCounts | None:
-        """Return how often each expert was chosen; see RankPort."""
+    async def fetch_counts(self) -> RankCounts | None:
+        """Return how often each expert was selected; see RankPort."""
         wire = await self._read('/amaranthrail/picked', _counts_decoder)
         if wire is None:
             return None
         return RankCounts(wire.epoch, wire.step, tuple(wire.counts))
 
-    async def lists(self) -> RankLists | None:
+    async def fetch_experts(self) -> RankExperts | None:
         """Return the experts that the rank holds; see RankPort."""
-        wire = await self._read('/amaranthrail/picked?lists=1', _lists_decoder)
+        wire = await self._read(
+            '/amaranthrail/picked?lists=1', _experts_decoder
+        )
         if wire is None:
             return None
-        return RankLists(
+        return RankExperts(
             wire.epoch,
             wire.map.version,
             tuple(tuple(experts) for experts in wire.map.experts),
         )
 
-    async def order(self, order: MapOrder) -> OrderResult:
-        """Give an order; see RankPort."""
+    async def send_order(self, order: MapOrder) -> OrderResult:
+        """Send an order; see RankPort."""
         fields: dict[str, Any] = {
-            'operation': order.verb.value,
+            'operation': order.kind.value,
             'epoch': order.epoch,
         }
         if order.version:
@@ -125,16 +129,16 @@
             fields['step'] = order.step
         if order.placement:
             fields['map'] = order.placement
-        answer = await self._call(
+        response = await self._call(
             'POST',
             '/amaranthrail/order',
             msgspec.json.encode(fields),
         )
-        if answer is None or answer.status >= _FIRST_SERVER_ERROR:
+        if response is None or response.status >= _FIRST_SERVER_ERROR:
             return OrderResult.UNANSWERED
-        if answer.status == _HTTP_ACCEPTED:
+        if response.status == _HTTP_ACCEPTED:
             return OrderResult.BEGUN
-        if answer.status == _HTTP_OK:
+        if response.status == _HTTP_OK:
             return OrderResult.DONE
         return OrderResult.REFUSED
 
@@ -143,14 +147,16 @@
         target: str,
         decoder: msgspec.json.Decoder[_Wire],
     ) -> _Wire | None:
-        """Return what a rank says, None where it says nothing valid."""
-        answer = await self._call('GET', target)
-        if answer is None or answer.status != _HTTP_OK:
+        """Return the decoded response, None without a valid one."""
+        response = await self._call('GET', target)
+        if response is None or response.status != _HTTP_OK:
             return None
         try:
-            return decoder.decode(answer.body)
+            return decoder.decode(response.body)
         except msgspec.DecodeError as error:
-            _log.warning('not understood', target=target, cause=str(error))
+            _log.warning(
+                'response not decoded', target=target, cause=str(error)
+            )
             return None
 
     async def _call(
@@ -159,10 +165,10 @@
         target: str,
         body: bytes = b'',
     ) -> HttpAnswer | None:
-        """Return an answer, None where there was none in time."""
+        """Return the response, None on a connection error or a timeout."""
         headers = _JSON if body else ()
-        timeout_ms = ORDER_TIMEOUT_MS if body else CALL_TIMEOUT_MS
-        cause = 'no answer in time'
+        timeout_ms = ORDER_TIMEOUT_MS if body else READ_TIMEOUT_MS
+        cause = 'no response in time'
         try:
             with move_on_after(timeout_ms):
                 return await self._client.call(method, target, headers, body)
@@ -172,7 +178,7 @@
         return None
 
 
-def _report(wire: _WireReport, group: _WireGroup) -> RankReport:
+def _to_report(wire: _WireReport, group: _WireGroup) -> RankReport:
     return RankReport(
         group=group.name,
         epoch=group.epoch,
@@ -181,9 +187,9 @@
         open=group.state == 'open',
         step=wire.step,
         version=wire.map,
-        prepared=wire.prepared or 0,
-        armed=0 if wire.armed is None else wire.armed.version,
+        prepared_version=wire.prepared or 0,
+        armed_version=0 if wire.armed is None else wire.armed.version,
         armed_step=0 if wire.armed is None else wire.armed.step,
-        held=wire.held or 0,
-        pace=wire.pace,
+        held_step=wire.held or 0,
+        slowdown=wire.pace,
     )
--- a/src/amaranthrail/ranks/__init__.py
+++ b/src/amaranthrail/ranks/__init__.py
@@ -1,1 +1,1 @@
-"""Change the expert maps of rank groups beside the engines themselves."""
+"""Change the expert maps of rank groups from an entry, by orders to ranks."""
--- a/src/amaranthrail/ranks/change.py
+++ b/src/amaranthrail/ranks/change.py
@@ -1,12 +1,12 @@
-"""Change a group's expert map at one pass for all ranks, or not at all.
-
-Orders may get no answer and be carried out seconds later. What keeps a late one
-from harm is what the ranks themselves refuse: an arm for a pass that has begun
-or for a version that another preparation has replaced, and any order of an
-earlier formation of the group. So a pass is held back first, all ranks are
-armed for it, and it is let go only once each of them has confirmed. Otherwise
-each is disarmed and given another preparation before the pass is let go, and
-the version is never used again.
+"""Change a group's expert map at the same step on all ranks, or on none.
+
+An order may get no response and still be executed seconds later. A late order
+does no harm because of what the ranks themselves refuse: arming for a step that
+has begun or for a version that a later preparation has replaced, and any order
+of an earlier group epoch. So a step is held first, all ranks are armed for it,
+and it is released only once each of them has confirmed. Otherwise each rank is
+disarmed and given another preparation before the step is released, and the
+version is never used again.
 """
 
 from __future__ import annotations
@@ -20,67 +20,71 @@
 
 from ..clock import MS_PER_SECOND, Clock, sleep
 from ..logs import part_logger
-from .ports import MapOrder, OrderResult, Placement, RankReport, Verb
-
-#: Times between a report and the pass that is held, in ms, the second where the
-#: first was too short: reports are 200 ms old, and a hold and an arm take some
-#: 10 ms each.
-LEADS_MS = (300.0, 600.0)
-#: The same while orders go without an answer, in ms: three repeats fit in.
-SLOW_LEAD_MS = 1000.0
-#: Time for which an order without an answer is remembered, in ms.
-UNANSWERED_MEMORY_MS = 10_000.0
-#: Fewest and most passes in that time.
-MIN_LEAD_PASSES = 3
-MAX_LEAD_PASSES = 200
-#: Time in which all ranks must confirm a preparation, in ms; nothing waits.
+from .ports import MapOrder, OrderKind, OrderResult, Placement, RankReport
+
+#: Times between a report and the step that is held, in ms; the second applies
+#: if the first was too short. Reports are 200 ms old, and a hold and an arm
+#: take some 10 ms each.
+HOLD_AHEAD_MS = (300.0, 600.0)
+#: The same while orders get no response, in ms: three retries fit in.
+SLOW_HOLD_AHEAD_MS = 1000.0
+#: Time for which an unanswered order counts as recent, in ms.
+UNANSWERED_WINDOW_MS = 10_000.0
+#: Fewest and most steps between a report and the step that is held.
+MIN_STEPS_AHEAD = 3
+MAX_STEPS_AHEAD = 200
+#: Time in which all ranks must confirm a preparation, in ms; no step waits for
+#: it.
 PREPARE_MS = 2500.0
 #: Time in which ranks must confirm a hold or an arm, in ms: the group waits for
-#: what goes beyond the lead.
+#: the part of it that exceeds the time until the held step.
 CONFIRM_MS = 1100.0
-#: Time by which copies may take longer than their sizes say, in ms; ranks that
-#: need more refuse to be armed and are asked again for REFUSED_ARM_MS.
+#: Time by which copying may exceed what the experts' sizes predict, in ms.
 COPY_SLACK_MS = 30.0
+#: Time for which the arm order is retried at ranks that need longer and
+#: therefore refuse it, in ms.
 REFUSED_ARM_MS = 400.0
-#: Time before such an order is repeated, in ms.
-REFUSED_REPEAT_MS = 25.0
-#: Time before an order without an answer is repeated, in ms; a rank that cannot
-#: be reached refuses connections at once.
-REPEAT_MS = 80.0
-#: Time that undoing a change takes at most before it is begun again, in ms.
-UNDO_MS = 6000.0
+#: Time before a refused order is retried, in ms.
+REFUSED_RETRY_MS = 25.0
+#: Time before an unanswered order is retried, in ms; a rank that cannot be
+#: reached refuses connections at once.
+UNANSWERED_RETRY_MS = 80.0
+#: Time limit of one attempt to roll a change back, in ms; another attempt
+#: follows.
+ROLLBACK_MS = 6000.0
 _log = part_logger('change')
 
-_Answer = TypeVar('_Answer')
+_Response = TypeVar('_Response')
 
-AskRank = Callable[[int], Awaitable[RankReport | None]]
-OrderRank = Callable[[int, MapOrder], Awaitable[OrderResult]]
+FetchReport = Callable[[int], Awaitable[RankReport | None]]
+SendOrder = Callable[[int, MapOrder], Awaitable[OrderResult]]
 
 
 class ChangeOutcome(Enum):
-    """Say how a change ended."""
+    """Name the ways in which a change can end."""
 
     DONE = 'done'
     NOT_PREPARED = 'not-prepared'
     NOT_HELD = 'not-held'
-    UNDONE = 'undone'
+    ROLLED_BACK = 'undone'
     STUCK = 'stuck'
-    FORMED_ANEW = 'formed-anew'
+    EPOCH_CHANGED = 'formed-anew'
 
 
-class Target(msgspec.Struct, frozen=True):
-    """Hold what a change aims at.
+class ChangeRequest(msgspec.Struct, frozen=True):
+    """Describe the map to bring into use and the group it is for.
 
-    ``pass_ms`` is the time of one pass of late, ``current`` the map in use.
-    ``copying_ms`` is the time that the rank with most copies needs for them.
-    ``replaces_all`` says that versions of other leaders are disarmed too.
+    ``step_ms`` is the recent duration of one step, ``current`` the map in use.
+    ``copying_ms`` is the time that the rank with the most experts to copy
+    needs for them. ``replaces_all`` says that versions armed by other leaders
+    are disarmed too.
     """
 
     epoch: int
     version: int
     placement: Placement
     current: Placement
-    pass_ms: float
+    step_ms: float
     copying_ms: float = 0
     replaces_all: bool = False
 
@@ -91,205 +95,223 @@
     def __init__(
         self,
         holder: int,
-        ask: AskRank,
-        order: OrderRank,
+        fetch_report: FetchReport,
+        send_order: SendOrder,
         clock: Clock,
     ) -> None:
-        """Take the rank that holds passes back and how to reach all ranks."""
+        """Set the rank that holds steps and the ways to reach all ranks."""
         self._holder = holder
-        self._ask = ask
-        self._order = order
+        self._fetch_report = fetch_report
+        self._send_order = send_order
         self._clock = clock
         self._unanswered_at: float | None = None
 
-    async def run(self, ranks: Iterable[int], target: Target) -> ChangeOutcome:
-        """Bring a map into use on all ranks."""
+    async def run(
+        self,
+        ranks: Iterable[int],
+        request: ChangeRequest,
+    ) -> ChangeOutcome:
+        """Bring a map into use on all ranks, or roll the change back."""
         members = tuple(ranks)
-        if not await self._prepare(members, target):
+        if not await self._prepare(members, request):
             return ChangeOutcome.NOT_PREPARED
-        step = await self._hold(target)
+        step = await self._hold_step(request)
         if step is None:
             return ChangeOutcome.NOT_HELD
-        arm = MapOrder(Verb.ARM, target.epoch, target.version, step)
+        arm = MapOrder(OrderKind.ARM, request.epoch, request.version, step)
         orders = dict.fromkeys(members, arm)
-        if await self._confirm(orders, CONFIRM_MS, REFUSED_ARM_MS):
-            return await self._let_go(target.epoch, step)
-        outcome = await self.disarm_all(members, target)
+        if await self._confirm_all(orders, CONFIRM_MS, REFUSED_ARM_MS):
+            return await self._release(request.epoch, step)
+        outcome = await self.disarm_all(members, request)
         if outcome is ChangeOutcome.DONE:
-            outcome = await self._let_go(target.epoch, step)
+            outcome = await self._release(request.epoch, step)
         if outcome is ChangeOutcome.DONE:
-            return ChangeOutcome.UNDONE
+            return ChangeOutcome.ROLLED_BACK
         return outcome
 
     async def disarm_all(
         self,
         ranks: Iterable[int],
-        target: Target,
+        request: ChangeRequest,
     ) -> ChangeOutcome:
-        """Disarm all ranks for good; their group may go on after that."""
-        settled: set[int] = set()
+        """Disarm all ranks and fence off late arm orders.
+
+        After DONE the held step may be released.
+        """
+        fenced: set[int] = set()
         members = frozenset(ranks)
-        with trio.move_on_after(UNDO_MS / MS_PER_SECOND):
+        with trio.move_on_after(ROLLBACK_MS / MS_PER_SECOND):
             async with trio.open_nursery() as nursery:
                 for rank in members:
-                    nursery.start_soon(self._settle, rank, target, settled)
-        if settled == members:
+                    nursery.start_soon(self._fence, rank, request, fenced)
+        if fenced == members:
             return ChangeOutcome.DONE
-        report = await self._ask(self._holder)
-        if report is not None and report.epoch != target.epoch:
-            return ChangeOutcome.FORMED_ANEW
-        # The pass stays held: letting it go could split the ranks.
-        _log.error('change stuck', ranks=sorted(members - settled))
+        report = await self._fetch_report(self._holder)
+        if report is not None and report.epoch != request.epoch:
+            return ChangeOutcome.EPOCH_CHANGED
+        # The step stays held: after a release the ranks could use different
+        # maps.
+        _log.error('change stuck', ranks=sorted(members - fenced))
         return ChangeOutcome.STUCK
 
-    async def _let_go(self, epoch: int, step: int) -> ChangeOutcome:
-        go = MapOrder(Verb.GO, epoch, step=step)
-        if await self._confirm({self._holder: go}, UNDO_MS):
+    async def _release(self, epoch: int, step: int) -> ChangeOutcome:
+        release = MapOrder(OrderKind.RELEASE, epoch, step=step)
+        if await self._confirm_all({self._holder: release}, ROLLBACK_MS):
             return ChangeOutcome.DONE
         return ChangeOutcome.STUCK
 
-    async def _settle(
+    async def _fence(
         self,
         rank: int,
-        target: Target,
-        settled: set[int],
+        request: ChangeRequest,
+        fenced: set[int],
     ) -> None:
-        """Disarm a rank and replace what it has prepared.
+        """Disarm a rank and replace the version that it has prepared.
 
-        Until the replacement is confirmed a late arm may take effect, and
+        Until the replacement is confirmed, a late arm order may take effect;
         then the rank is disarmed once more.
         """
         fence = MapOrder(
-            Verb.PREPARE,
-            target.epoch,
-            target.version + 1,
-            placement=target.current,
+            OrderKind.PREPARE,
+            request.epoch,
+            request.version + 1,
+            placement=request.current,
         )
-        while rank not in settled:
-            report = await self._ask(rank)
-            armed = target.version if report is None else report.armed
-            # What another leader armed is disarmed only once it has gone.
-            if armed and (armed == target.version or target.replaces_all):
-                disarm = MapOrder(Verb.DISARM, target.epoch, armed)
-                await self._order(rank, disarm)
-            outcome = await self._order(rank, fence)
-            if outcome.accepted or _has_moved_on(report, target):
-                settled.add(rank)
+        while rank not in fenced:
+            report = await self._fetch_report(rank)
+            armed = request.version if report is None else report.armed_version
+            # A version that another leader armed is disarmed only if that
+            # leader has gone.
+            if armed and (armed == request.version or request.replaces_all):
+                disarm = MapOrder(OrderKind.DISARM, request.epoch, armed)
+                await self._send_order(rank, disarm)
+            order_result = await self._send_order(rank, fence)
+            if order_result.accepted or _has_newer_version(report, request):
+                fenced.add(rank)
             else:
-                await sleep(REPEAT_MS)
+                await sleep(UNANSWERED_RETRY_MS)
 
     async def _prepare(
         self,
         members: tuple[int, ...],
-        target: Target,
+        request: ChangeRequest,
     ) -> bool:
         order = MapOrder(
-            Verb.PREPARE,
-            target.epoch,
-            target.version,
-            placement=target.placement,
+            OrderKind.PREPARE,
+            request.epoch,
+            request.version,
+            placement=request.placement,
         )
-        if not await self._confirm(dict.fromkeys(members, order), PREPARE_MS):
+        if not await self._confirm_all(
+            dict.fromkeys(members, order),
+            PREPARE_MS,
+        ):
             return False
-        await sleep(target.copying_ms + COPY_SLACK_MS)
+        await sleep(request.copying_ms + COPY_SLACK_MS)
         return True
 
-    async def _hold(self, target: Target) -> int | None:
-        """Hold a pass back that is soon to begin; return which one."""
-        for lead_ms in LEADS_MS:
-            own = await self._ask(self._holder)
-            if own is None or own.epoch != target.epoch:
+    async def _hold_step(self, request: ChangeRequest) -> int | None:
+        """Hold a step that begins soon; return its number, None if refused."""
+        for ahead_ms in HOLD_AHEAD_MS:
+            report = await self._fetch_report(self._holder)
+            if report is None or report.epoch != request.epoch:
                 break
-            step = own.step + self._lead_passes(lead_ms, target.pass_ms)
-            hold = MapOrder(Verb.HOLD, target.epoch, step=step)
-            if await self._confirm({self._holder: hold}, CONFIRM_MS):
+            step = report.step + self._steps_ahead(ahead_ms, request.step_ms)
+            hold = MapOrder(OrderKind.HOLD, request.epoch, step=step)
+            if await self._confirm_all({self._holder: hold}, CONFIRM_MS):
                 return step
         return None
 
-    async def _confirm(
+    async def _confirm_all(
         self,
         orders: Mapping[int, MapOrder],
-        bound_ms: float,
+        timeout_ms: float,
         refused_ms: float = 0,
     ) -> bool:
-        """Give each rank its order until it has confirmed it.
+        """Send each rank its order until the rank has confirmed it.
 
-        An order repeated is the same order: a rank that has carried it out
-        says so. Return False where time runs out, or for a refusal once orders
-        have been refused for ``refused_ms``.
+        Retries are idempotent: a rank that has executed the order confirms
+        it again. Return False on timeout, or for a refusal once orders have
+        been refused for ``refused_ms``.
         """
-        last_refusal = self._clock.now() + refused_ms
+        retry_refused_until = self._clock.now() + refused_ms
         confirmed: dict[int, bool] = {}
-        with trio.move_on_after(bound_ms / MS_PER_SECOND):
+        with trio.move_on_after(timeout_ms / MS_PER_SECOND):
             async with trio.open_nursery() as nursery:
                 for rank, order in orders.items():
                     nursery.start_soon(
-                        self._confirm_one,
+                        self._confirm,
                         rank,
                         order,
                         confirmed,
-                        last_refusal,
+                        retry_refused_until,
                     )
-        refused = sorted(set(orders) - _accepting(confirmed))
-        if refused:
-            verb = next(iter(orders.values())).verb.value
-            _log.warning('order not confirmed', order=verb, ranks=refused)
-        return not refused
+        failed = sorted(set(orders) - _accepted_ranks(confirmed))
+        if failed:
+            kind = next(iter(orders.values())).kind.value
+            _log.warning('order not confirmed', order=kind, ranks=failed)
+        return not failed
 
-    async def _confirm_one(
+    async def _confirm(
         self,
         rank: int,
         order: MapOrder,
         confirmed: dict[int, bool],
-        last_refusal: float,
+        retry_refused_until: float,
     ) -> None:
         while rank not in confirmed:
-            outcome = await self._order(rank, order)
-            if outcome is OrderResult.UNANSWERED:
+            order_result = await self._send_order(rank, order)
+            if order_result is OrderResult.UNANSWERED:
                 self._unanswered_at = self._clock.now()
-                await sleep(REPEAT_MS)
-            elif outcome.accepted or self._clock.now() >= last_refusal:
-                confirmed[rank] = outcome.accepted
+                await sleep(UNANSWERED_RETRY_MS)
+            elif (
+                order_result.accepted
+                or self._clock.now() >= retry_refused_until
+            ):
+                confirmed[rank] = order_result.accepted
             else:
-                await sleep(REFUSED_REPEAT_MS)
+                await sleep(REFUSED_RETRY_MS)
 
-    def _lead_passes(self, lead_ms: float, pass_ms: float) -> int:
-        """Return how many passes ahead the held one is."""
+    def _steps_ahead(self, ahead_ms: float, step_ms: float) -> int:
+        """Return the number of steps from the reported one to the held one."""
         now = self._clock.now()
         last = self._unanswered_at
-        if last is not None and now - last < UNANSWERED_MEMORY_MS:
-            lead_ms = SLOW_LEAD_MS
-        passes = int(lead_ms / max(1, pass_ms)) + 1
-        return min(MAX_LEAD_PASSES, max(MIN_LEAD_PASSES, passes))
+        if last is not None and now - last < UNANSWERED_WINDOW_MS:
+            ahead_ms = SLOW_HOLD_AHEAD_MS
+        steps = int(ahead_ms / max(1, step_ms)) + 1
+        return min(MAX_STEPS_AHEAD, max(MIN_STEPS_AHEAD, steps))
 
 
-async def ask_all(
+async def query_ranks(
     ranks: Iterable[int],
-    ask: Callable[[int], Awaitable[_Answer | None]],
-) -> dict[int, _Answer]:
-    """Return what each rank answers, asking all at the same time."""
-    answers: dict[int, _Answer] = {}
+    query: Callable[[int], Awaitable[_Response | None]],
+) -> dict[int, _Response]:
+    """Query ranks concurrently; return the responses by rank."""
+    responses: dict[int, _Response] = {}
 
-    async def ask_one(rank: int) -> None:
-        answer = await ask(rank)
-        if answer is not None:
-            answers[rank] = answer
+    async def query_rank(rank: int) -> None:
+        response = await query(rank)
+        if response is not None:
+            responses[rank] = response
 
     async with trio.open_nursery() as nursery:
         for rank in ranks:
-            nursery.start_soon(ask_one, rank)
-    return answers
+            nursery.start_soon(query_rank, rank)
+    return responses
 
 
-def _has_moved_on(report: RankReport | None, target: Target) -> bool:
-    """Tell whether a rank can no longer take a change's version.
+def _has_newer_version(
+    report: RankReport | None,
+    request: ChangeRequest,
+) -> bool:
+    """Tell whether a rank can no longer apply the requested version.
 
     Another leader has given it a higher one since.
     """
-    if report is None or report.epoch != target.epoch or report.armed:
+    if report is None or report.epoch != request.epoch or report.armed_version:
         return False
-    return max(report.version, report.prepared) > target.version
+    return max(report.version, report.prepared_version) > request.version
 
 
-def _accepting(confirmed: Mapping[int, bool]) -> set[int]:
+def _accepted_ranks(confirmed: Mapping[int, bool]) -> set[int]:
     return {rank for rank, accepted in confirmed.items() if accepted}
--- a/src/amaranthrail/ranks/leader.py
+++ b/src/amaranthrail/ranks/leader.py
@@ -1,4 +1,4 @@
-"""Lead a group: watch demand, plan maps and change them."""
+"""Adapt the expert map of a rank group to the demand for experts."""
 
 from __future__ import annotations
 
@@ -19,50 +19,52 @@
     set_skew,
 )
 from ..policy.mapchanges import counts_due, is_warm, pays
-from .change import ChangeOutcome, MapChange, Target, ask_all
+from .change import ChangeOutcome, ChangeRequest, MapChange, query_ranks
 from .ports import (
     MapOrder,
+    OrderKind,
     OrderResult,
     Placement,
     RankPort,
     RankReport,
-    Verb,
 )
 
-#: Ranks whose counts are read in turn; each count read is billed, and demand is
-#: much the same at all ranks.
-COUNTED_RANKS = 2
-#: Time without a pass after which a leader looks for a pass held back, in ms.
+#: Ranks whose counts are read in turn; each read is billed, and demand is much
+#: the same at all ranks.
+SAMPLED_RANKS = 2
+#: Time without a new step after which a leader looks for a held step, in ms.
 STALL_MS = 700.0
-#: Time without a pass after which a group counts as idle, in ms.
+#: Time without a new step from which a group counts as idle, in ms; the step
+#: duration is not estimated across it.
 IDLE_MS = 600.0
-#: Time for which a leader makes no change after it has seen another's, in ms:
-#: entries that are cut off from each other may all lead.
-YIELD_MS = 3000.0
-#: Versions are drawn at random in steps of this many, so that two leaders do
-#: not use the same; every other number is kept for undoing.
-VERSION_STEP = 1024
-_DRAWS = VERSION_STEP // 2
+#: Time for which a leader makes no change after it has seen another leader's,
+#: in ms: entries that are cut off from each other may all be leaders.
+BACKOFF_MS = 3000.0
+#: Each new version is drawn at random from the next range of this size, so that
+#: two leaders do not use the same one. Only even offsets are drawn: the odd
+#: number after a version is kept for rolling its change back.
+VERSION_RANGE = 1024
+_VERSIONS_PER_RANGE = VERSION_RANGE // 2
 _log = part_logger('leader')
 
 
-class _Formation(msgspec.Struct):
-    """Hold what is known of a group's present formation."""
+class _GroupState(msgspec.Struct):
+    """Hold the cached state of a group in its current epoch."""
 
     epoch: int = -1
     version: int = -1
-    highest: int = -1
+    highest_version: int = -1
     placement: Placement | None = None
     last_step: int = 0
     last_step_at: float = 0
-    pass_ms: float = 0
-    counted: list[int] = msgspec.field(default_factory=list)
-    counted_at: float | None = None
-    counts: int = 0
+    step_ms: float = 0
+    sampled_ranks: list[int] = msgspec.field(default_factory=list)
+    sampled_at: float | None = None
+    sample_count: int = 0
 
 
 class Leader:
-    """Keep the expert map of one group fit for the demand."""
+    """Change the expert map of one group as the demand for experts changes."""
 
     def __init__(
         self,
@@ -70,233 +72,245 @@
         target_gap_ms: float,
         clock: Clock,
     ) -> None:
-        """Take the maps' shape and the pause that streams may have."""
+        """Set the shape of maps and the target gap between events, in ms."""
         self._layout = layout
         self._target_gap_ms = target_gap_ms
         self._clock = clock
         self._ranks: Mapping[int, RankPort] = {}
-        self._formation = _Formation()
+        self._group = _GroupState()
         self._demand = ExpertDemand(layout.sets, layout.experts)
         self._random = random.Random()
-        # Another leader holds passes back at another rank, so that neither
-        # lets go what the other still needs held.
+        # Leaders choose the rank that holds steps at random, so that one does
+        # not release a step that another still needs held.
         self._holder = 0
-        self._yields_until = 0.0
-        self._change = MapChange(0, self._report, self._order, clock)
+        self._back_off_until = 0.0
+        self._change = MapChange(
+            0,
+            self._fetch_report,
+            self._send_order,
+            clock,
+        )
 
     @property
     def epoch(self) -> int:
-        """Return the formation that was seen last, -1 for none."""
-        return self._formation.epoch
+        """Return the last reported group epoch, -1 for none."""
+        return self._group.epoch
 
     @property
-    def yields(self) -> bool:
-        """Tell whether another leader's changes keep this one from any."""
-        return self._clock.now() < self._yields_until
+    def is_backing_off(self) -> bool:
+        """Tell whether another leader's recent change prevents any here."""
+        return self._clock.now() < self._back_off_until
 
-    def meet(self, ranks: Mapping[int, RankPort]) -> None:
-        """Take the way to each rank."""
+    def replace_ranks(self, ranks: Mapping[int, RankPort]) -> None:
+        """Replace the ranks of the group and choose the one to hold steps."""
         self._ranks = ranks
         self._holder = self._random.choice(list(ranks) or [0])
         self._change = MapChange(
             self._holder,
-            self._report,
-            self._order,
+            self._fetch_report,
+            self._send_order,
             self._clock,
         )
 
-    async def run_once(self) -> bool:
-        """Look at the group once; tell whether its holder could be reached."""
-        report = await self._report(self._holder)
+    async def run_cycle(self) -> bool:
+        """Update the group once; return False if its holder did not respond."""
+        report = await self._fetch_report(self._holder)
         if report is None:
             return False
         if not report.open:
             return True
-        self._note_report(report)
-        if self._clock.now() - self._formation.last_step_at > STALL_MS:
-            await self.release_held()
-        elif not report.held:
-            await self._lead(report)
+        self._apply_report(report)
+        if self._clock.now() - self._group.last_step_at > STALL_MS:
+            await self.recover_held_step()
+        elif not report.held_step:
+            await self._update_map(report)
         return True
 
-    async def release_held(self) -> None:
-        """Finish or undo what a leader began that has gone.
+    async def recover_held_step(self) -> None:
+        """Complete or roll back a change that a lost leader has begun.
 
-        Also called by an entry that does not lead but whose streams stopped.
+        An entry that is not the leader calls this too if its streams stop.
         """
-        reports = await ask_all(self._ranks, self._report)
-        held = {
+        reports = await query_ranks(self._ranks, self._fetch_report)
+        holders = {
             rank
-            for rank, one in reports.items()
-            if one.held and one.step == one.held - 1
+            for rank, state in reports.items()
+            if state.held_step and state.step == state.held_step - 1
         }
-        if not held:
+        if not holders:
             return
-        report = reports[min(held)]
-        step = report.held
-        self._note_report(report)
-        _log.warning('held pass found', step=step, ranks=sorted(held))
-        free = sorted(set(self._ranks) - held)
+        report = reports[min(holders)]
+        step = report.held_step
+        self._apply_report(report)
+        _log.warning('held step found', step=step, ranks=sorted(holders))
+        free = sorted(set(self._ranks) - holders)
         if not free:
-            _log.error('every rank holds a pass', step=step)
+            _log.error('all ranks hold a step', step=step)
             return
-        guard = self._random.choice(free)
-        # The other leader may still let go what it holds.
-        hold = MapOrder(Verb.HOLD, report.epoch, step=step)
-        if not (await self._order(guard, hold)).accepted:
+        own_holder = self._random.choice(free)
+        # The other leader may still release the step that it holds.
+        hold = MapOrder(OrderKind.HOLD, report.epoch, step=step)
+        if not (await self._send_order(own_holder, hold)).accepted:
             return
         if len(reports) == report.size and _all_armed(reports.values(), step):
             outcome = ChangeOutcome.DONE
         else:
-            outcome = await self._undo(report)
-        _log.warning('held pass looked after', outcome=outcome.value)
+            outcome = await self._roll_back(report)
+        _log.warning('held step recovery ended', outcome=outcome.value)
         if outcome is ChangeOutcome.DONE:
-            await self._let_go({*held, guard}, report.epoch, step)
+            await self._release({*holders, own_holder}, report.epoch, step)
 
-    async def _lead(self, report: RankReport) -> None:
-        if self._formation.placement is None:
-            await self._learn_placement(report)
-        await self._count()
-        if self.yields or report.armed:
+    async def _update_map(self, report: RankReport) -> None:
+        if self._group.placement is None:
+            await self._fetch_placement(report)
+        await self._sample_demand()
+        if self.is_backing_off or report.armed_version:
             return
         if self._demand.settled:
-            await self._improve(report)
+            await self._rebalance(report)
 
-    async def _count(self) -> None:
-        """Read how often experts were chosen, where that is due."""
-        formation = self._formation
+    async def _sample_demand(self) -> None:
+        """Read how often experts were selected, if a sample is due."""
+        group = self._group
         now = self._clock.now()
-        since = formation.counted_at
-        age_ms = None if since is None else now - since
-        if not counts_due(age_ms, formation.pass_ms, self._target_gap_ms):
+        sampled_at = group.sampled_at
+        age_ms = None if sampled_at is None else now - sampled_at
+        if not counts_due(age_ms, group.step_ms, self._target_gap_ms):
             return
-        formation.counted_at = now
+        group.sampled_at = now
         self._demand.age(now)
-        ranks = [self._next_counted()]
-        if since is None:
-            # What counts grow by says something from the second reading on.
-            ranks = self._counted_ranks()
+        ranks = [self._next_sampled_rank()]
+        if sampled_at is None:
+            # Demand is the growth of a rank's counts between two samples, so
+            # each sampled rank needs a first one.
+            ranks = self._sampled_ranks()
         for rank in ranks:
-            counts = await self._ranks[rank].counts()
+            counts = await self._ranks[rank].fetch_counts()
             if counts is not None:
-                self._demand.take(rank, counts.chosen)
-
-    def _next_counted(self) -> int:
-        """Return the rank to count, each of a few in turn."""
-        ranks = self._counted_ranks()
-        self._formation.counts += 1
-        return ranks[self._formation.counts % len(ranks)]
-
-    def _counted_ranks(self) -> list[int]:
-        """Return the ranks to count, the same ones while all can be met."""
-        formation = self._formation
-        lost = set(formation.counted) - set(self._ranks)
-        if lost or not formation.counted:
-            wanted = min(len(self._ranks), COUNTED_RANKS)
-            formation.counted = self._random.sample(list(self._ranks), wanted)
-        return formation.counted
-
-    async def _report(self, rank: int) -> RankReport | None:
+                self._demand.take(rank, counts.selections)
+
+    def _next_sampled_rank(self) -> int:
+        """Return the rank to sample next, in round-robin order."""
+        ranks = self._sampled_ranks()
+        self._group.sample_count += 1
+        return ranks[self._group.sample_count % len(ranks)]
+
+    def _sampled_ranks(self) -> list[int]:
+        """Return the ranks to sample, the same ones while all are known."""
+        group = self._group
+        lost = set(group.sampled_ranks) - set(self._ranks)
+        if lost or not group.sampled_ranks:
+            size = min(len(self._ranks), SAMPLED_RANKS)
+            group.sampled_ranks = self._random.sample(list(self._ranks), size)
+        return group.sampled_ranks
+
+    async def _fetch_report(self, rank: int) -> RankReport | None:
         port = self._ranks.get(rank)
-        return None if port is None else await port.report()
+        return None if port is None else await port.fetch_report()
 
-    async def _order(self, rank: int, order: MapOrder) -> OrderResult:
+    async def _send_order(self, rank: int, order: MapOrder) -> OrderResult:
         port = self._ranks.get(rank)
         if port is None:
             return OrderResult.REFUSED
-        return await port.order(order)
+        return await port.send_order(order)
 
-    def _note_report(self, report: RankReport) -> None:
+    def _apply_report(self, report: RankReport) -> None:
         now = self._clock.now()
-        if report.epoch != self._formation.epoch:
-            _log.info('group formed', group=report.group, epoch=report.epoch)
+        if report.epoch != self._group.epoch:
+            _log.info(
+                'group epoch started', group=report.group, epoch=report.epoch
+            )
             self._demand.forget()
-            self._formation = _Formation(report.epoch, last_step_at=now)
-            self._formation.last_step = report.step
-        formation = self._formation
-        if report.step > formation.last_step:
-            passes = report.step - formation.last_step
-            elapsed_ms = now - formation.last_step_at
+            self._group = _GroupState(report.epoch, last_step_at=now)
+            self._group.last_step = report.step
+        group = self._group
+        if report.step > group.last_step:
+            steps = report.step - group.last_step
+            elapsed_ms = now - group.last_step_at
             if elapsed_ms < IDLE_MS:
-                formation.pass_ms = elapsed_ms / passes
-            formation.last_step = report.step
-            formation.last_step_at = now
-        self._note_others_change(report)
-        if report.version != formation.version:
-            formation.version = report.version
-            formation.placement = None
-
-    def _note_others_change(self, report: RankReport) -> None:
-        """Leave the map to another leader that has begun to change it."""
-        formation = self._formation
-        highest = max(report.version, report.prepared, report.armed)
-        is_first_look = formation.highest < 0
-        if highest > formation.highest and not is_first_look:
-            self._yields_until = self._clock.now() + YIELD_MS
-            _log.info('map changed by another', version=highest)
-        formation.highest = max(formation.highest, highest)
-
-    async def _learn_placement(self, report: RankReport) -> None:
-        """Find out which experts the ranks hold in the map in use."""
+                group.step_ms = elapsed_ms / steps
+            group.last_step = report.step
+            group.last_step_at = now
+        self._detect_other_leader(report)
+        if report.version != group.version:
+            group.version = report.version
+            group.placement = None
+
+    def _detect_other_leader(self, report: RankReport) -> None:
+        """Back off if the report has a version that was not made here."""
+        group = self._group
+        highest = max(
+            report.version,
+            report.prepared_version,
+            report.armed_version,
+        )
+        is_first_report = group.highest_version < 0
+        if highest > group.highest_version and not is_first_report:
+            self._back_off_until = self._clock.now() + BACKOFF_MS
+            _log.info('map changed by another leader', version=highest)
+        group.highest_version = max(group.highest_version, highest)
+
+    async def _fetch_placement(self, report: RankReport) -> None:
+        """Set the placement to the experts that all ranks report."""
         layout = self._layout
         if report.version == 0:
             first = default_placement(layout.experts, report.size)
-            self._formation.placement = (first,) * layout.sets
+            self._group.placement = (first,) * layout.sets
             return
-        found = await ask_all(
+        responses = await query_ranks(
             self._ranks,
-            lambda rank: self._ranks[rank].lists(),
+            lambda rank: self._ranks[rank].fetch_experts(),
         )
-        columns = []
+        experts_by_rank = []
         for rank in range(report.size):
-            held = found.get(rank)
-            if held is None or held.version != report.version:
+            response = responses.get(rank)
+            if response is None or response.version != report.version:
                 return
-            columns.append(held.experts)
-        self._formation.placement = tuple(
-            tuple(column[index] for column in columns)
+            experts_by_rank.append(response.experts)
+        self._group.placement = tuple(
+            tuple(experts[index] for experts in experts_by_rank)
             for index in range(layout.sets)
         )
 
-    async def _improve(self, report: RankReport) -> None:
-        formation = self._formation
-        placement = formation.placement
-        if not is_warm(formation.pass_ms, self._target_gap_ms):
+    async def _rebalance(self, report: RankReport) -> None:
+        group = self._group
+        placement = group.placement
+        if not is_warm(group.step_ms, self._target_gap_ms):
             return
         if placement is None or len(self._ranks) != report.size:
             return
         planned = await self._plan(placement)
-        before = self._skew(placement)
-        after = self._skew(planned)
-        saving = 1 - after / before
-        if not pays(saving, self._formation.pass_ms, self._target_gap_ms):
+        skew_before = self._mean_skew(placement)
+        skew_after = self._mean_skew(planned)
+        saving = 1 - skew_after / skew_before
+        if not pays(saving, self._group.step_ms, self._target_gap_ms):
             return
         copies = _copies_by_rank(placement, planned)
-        target = Target(
+        request = ChangeRequest(
             report.epoch,
             self._next_version(report),
             planned,
             placement,
-            self._formation.pass_ms,
+            self._group.step_ms,
             max(copies) * self._layout.copy_ms,
         )
-        # An undone change has used the next version as well.
-        formation.highest = target.version + 1
-        outcome = await self._change.run(list(self._ranks), target)
+        # A change that is rolled back uses the next version as well.
+        group.highest_version = request.version + 1
+        outcome = await self._change.run(list(self._ranks), request)
         _log.info(
             'map changed',
             outcome=outcome.value,
             group=report.group,
             epoch=report.epoch,
-            version=target.version,
-            skew_before=round(before, 2),
-            skew_after=round(after, 2),
+            version=request.version,
+            skew_before=round(skew_before, 2),
+            skew_after=round(skew_after, 2),
             copies=sum(copies),
-            pass_ms=int(target.pass_ms),
+            pass_ms=int(request.step_ms),
         )
         if outcome is ChangeOutcome.DONE:
-            self._formation.version = target.version
-            self._formation.placement = planned
+            self._group.version = request.version
+            self._group.placement = planned
 
     async def _plan(self, placement: Placement) -> Placement:
         limits = PlanLimits(self._layout.placements, self._layout.spare)
@@ -304,11 +318,11 @@
         for index, held in enumerate(placement):
             weights = self._demand.of_set(index)
             planned.append(plan_set(held, weights, limits, self._random))
-            # Callers are served between the sets of a large group.
+            # Let other tasks serve callers between the sets of a large group.
             await trio.lowlevel.checkpoint()
         return tuple(planned)
 
-    def _skew(self, placement: Placement) -> float:
+    def _mean_skew(self, placement: Placement) -> float:
         skews = [
             set_skew(held, self._demand.of_set(index))
             for index, held in enumerate(placement)
@@ -316,46 +330,52 @@
         return sum(skews) / len(skews)
 
     def _next_version(self, report: RankReport) -> int:
-        highest = max(report.version, report.prepared, report.armed)
-        steps = highest // VERSION_STEP + 1
-        # The odd number above it is kept for undoing the change.
-        return steps * VERSION_STEP + 2 * self._random.randrange(1, _DRAWS)
+        highest = max(
+            report.version,
+            report.prepared_version,
+            report.armed_version,
+        )
+        next_range = highest // VERSION_RANGE + 1
+        # The odd number after the version is kept for rolling the change back.
+        return next_range * VERSION_RANGE + 2 * self._random.randrange(
+            1, _VERSIONS_PER_RANGE
+        )
 
-    async def _undo(self, report: RankReport) -> ChangeOutcome:
-        placement = self._formation.placement
+    async def _roll_back(self, report: RankReport) -> ChangeOutcome:
+        placement = self._group.placement
         if placement is None:
-            await self._learn_placement(report)
-            placement = self._formation.placement
+            await self._fetch_placement(report)
+            placement = self._group.placement
         if placement is None:
             return ChangeOutcome.STUCK
-        target = Target(
+        request = ChangeRequest(
             report.epoch,
             self._next_version(report),
             placement,
             placement,
-            self._formation.pass_ms,
+            self._group.step_ms,
             replaces_all=True,
         )
-        self._formation.highest = target.version + 1
-        return await self._change.disarm_all(list(self._ranks), target)
+        self._group.highest_version = request.version + 1
+        return await self._change.disarm_all(list(self._ranks), request)
 
-    async def _let_go(
+    async def _release(
         self,
         ranks: Iterable[int],
         epoch: int,
         step: int,
     ) -> None:
-        go = MapOrder(Verb.GO, epoch, step=step)
+        release = MapOrder(OrderKind.RELEASE, epoch, step=step)
         for rank in ranks:
-            outcome = await self._order(rank, go)
-            if not outcome.accepted:
-                # The next look finds the pass still held and tries again.
-                _log.warning('pass not let go', rank=rank, step=step)
+            order_result = await self._send_order(rank, release)
+            if not order_result.accepted:
+                # The next cycle finds the step still held and tries again.
+                _log.warning('step not released', rank=rank, step=step)
 
 
 def _all_armed(reports: Collection[RankReport], step: int) -> bool:
-    """Tell whether all ranks would take the same map with a pass."""
-    armed = {(report.armed, report.armed_step) for report in reports}
+    """Tell whether all ranks are armed with the same version for a step."""
+    armed = {(report.armed_version, report.armed_step) for report in reports}
     if len(armed) != 1:
         return False
     version, armed_step = armed.pop()
@@ -363,7 +383,7 @@
 
 
 def _copies_by_rank(before: Placement, after: Placement) -> list[int]:
-    """Return how many experts each rank has to copy, over all sets."""
+    """Return how many experts each rank must copy, over all layer sets."""
     by_set = [
         [
             len(set(new) - set(old))
--- a/src/amaranthrail/ranks/ports.py
+++ b/src/amaranthrail/ranks/ports.py
@@ -1,4 +1,4 @@
-"""Declare what a map change needs of one rank."""
+"""Declare the interface to one rank that expert map changes need."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 
 
 class RankReport(msgspec.Struct, frozen=True):
-    """Hold what a rank says of itself.
-
-    ``epoch`` numbers the formations of its group; a new one begins with map 0.
-    ``step`` is the last pass that was begun. ``version`` is the map in use,
-    ``prepared`` the one whose copies are complete, ``armed`` the one that
-    comes into use with pass ``armed_step``; ``held`` is the pass that waits
-    for a word. All of them are 0 for none. ``pace`` is over 1 at a slow rank.
+    """Hold the state that a rank reports.
+
+    ``epoch`` numbers the times that the group was formed; a new group epoch
+    starts with map version 0. ``step`` is the last engine step that was begun.
+    ``version`` is the map in use, ``prepared_version`` the one whose expert
+    weights are all copied, and ``armed_version`` the one that comes into use
+    with step ``armed_step``. ``held_step`` is the step that waits for a release
+    order. All of them are 0 for none. ``slowdown`` is over 1 at a slow rank.
     """
 
     group: str
@@ -28,49 +29,50 @@
     open: bool
     step: int
     version: int = 0
-    prepared: int = 0
-    armed: int = 0
+    prepared_version: int = 0
+    armed_version: int = 0
     armed_step: int = 0
-    held: int = 0
-    pace: float = 1
+    held_step: int = 0
+    slowdown: float = 1
 
 
 class RankCounts(msgspec.Struct, frozen=True):
-    """Hold how often each expert was chosen since the rank's start.
+    """Hold how often each expert was selected since the rank's start.
 
-    ``chosen`` has one number an expert, the sets after each other.
+    ``selections`` has one number per expert, the layer sets after each other.
     """
 
     epoch: int
     step: int
-    chosen: tuple[int, ...]
+    selections: tuple[int, ...]
 
 
-class RankLists(msgspec.Struct, frozen=True):
-    """Hold the map in use at a rank and its experts in it, by set."""
+class RankExperts(msgspec.Struct, frozen=True):
+    """Hold the map version in use at a rank and its experts, by layer set."""
 
     epoch: int
     version: int
     experts: tuple[tuple[int, ...], ...]
 
 
-class Verb(Enum):
-    """Name an order to a rank."""
+class OrderKind(Enum):
+    """Name the kinds of order that a rank accepts."""
 
     PREPARE = 'prepare'
     ARM = 'arm'
     DISARM = 'disarm'
     HOLD = 'hold'
-    GO = 'go'
+    # The platform's word for the release of a held step.
+    RELEASE = 'go'
 
 
 class MapOrder(msgspec.Struct, frozen=True):
     """Order a rank to do a part of a map change.
 
-    A rank whose group has formed anew since ``epoch`` refuses it.
+    A rank whose group has entered a new epoch since ``epoch`` refuses it.
     """
 
-    verb: Verb
+    kind: OrderKind
     epoch: int
     version: int = 0
     step: int = 0
@@ -78,7 +80,7 @@
 
 
 class OrderResult(Enum):
-    """Say what became of an order; without an answer it may still come."""
+    """Name the results of an order; an unanswered one may still be executed."""
 
     BEGUN = 'begun'
     DONE = 'done'
@@ -87,21 +89,24 @@
 
     @property
     def accepted(self) -> bool:
-        """Tell whether the rank has taken the order."""
+        """Tell whether the rank has begun or completed the order."""
         return self in {OrderResult.BEGUN, OrderResult.DONE}
 
 
 class RankPort(Protocol):
-    """Ask and order one rank."""
+    """Fetch the state of one rank and send it orders.
+
+    What is fetched is None if the rank does not respond.
+    """
 
-    async def report(self) -> RankReport | None:
-        """Return the rank's state, None where it does not answer."""
+    async def fetch_report(self) -> RankReport | None:
+        """Return the rank's state."""
 
-    async def counts(self) -> RankCounts | None:
-        """Return how often its calls chose each expert."""
+    async def fetch_counts(self) -> RankCounts | None:
+        """Return how often its calls selected each expert."""
 
-    async def lists(self) -> RankLists | None:
-        """Return the experts that it holds."""
+    async def fetch_experts(self) -> RankExperts | None:
+        """Return the experts that it holds in the map in use."""
 
-    async def order(self, order: MapOrder) -> OrderResult:
-        """Give an order."""
+    async def send_order(self, order: MapOrder) -> OrderResult:
+        """Send an order and return whether the rank accepted it."""
--- a/tests/lockstep.py
+++ b/tests/lockstep.py
@@ -1,6 +1,6 @@
-"""Hold a group of ranks in memory that obeys the platform's order rules.
+"""Simulate in memory a group of ranks that obeys the platform's order rules.
 
-Orders may be lost on the way back and be carried out seconds later.
+The response to an order may be lost, and the order executed seconds later.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from amaranthrail.platform.ranks import ORDER_TIMEOUT_MS
 from amaranthrail.ranks.ports import (
     MapOrder,
+    OrderKind,
     OrderResult,
     Placement,
     RankReport,
-    Verb,
 )
 
-PASS_S = 0.04
+STEP_S = 0.04
 COPY_S = 0.2
 ORDER_TIMEOUT_S = ORDER_TIMEOUT_MS / 1000
 
@@ -28,26 +28,26 @@
 class FakeRank:
     number: int
     version: int = 0
-    content: Placement = ()
-    highest: int = 0
-    preparing: int = 0
-    prepared: int = 0
-    prepared_content: Placement = ()
+    placement: Placement = ()
+    highest_version: int = 0
+    preparing_version: int = 0
+    prepared_version: int = 0
+    prepared_placement: Placement = ()
     armed: tuple[int, int, Placement] | None = None
-    held: int = 0
+    held_step: int = 0
 
 
 @dataclass
 class FakeGroup:
-    """Make passes, take orders, and note where ranks disagree."""
+    """Execute steps and orders; record steps with different maps in use."""
 
     size: int
-    source: random.Random
+    random_source: random.Random
     late_share: float = 0
     epoch: int = 1
     step: int = 0
-    split: list[int] = field(default_factory=list)
-    silent: set[int] = field(default_factory=set)
+    mixed_steps: list[int] = field(default_factory=list)
+    unresponsive: set[int] = field(default_factory=set)
     ranks: list[FakeRank] = field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -60,20 +60,20 @@
     async def run(self, nursery: trio.Nursery) -> None:
         self._nursery = nursery
         while True:
-            await trio.sleep(PASS_S)
-            if not any(rank.held == self.step + 1 for rank in self.ranks):
-                self._begin_pass()
+            await trio.sleep(STEP_S)
+            if not any(rank.held_step == self.step + 1 for rank in self.ranks):
+                self._begin_step()
 
-    def form_anew(self) -> None:
+    def start_new_epoch(self) -> None:
         self.epoch += 1
         self.ranks = [FakeRank(number) for number in range(self.size)]
 
-    async def ask(self, rank: int) -> RankReport | None:
+    async def fetch_report(self, rank: int) -> RankReport | None:
         await trio.sleep(0.002)
-        if rank in self.silent:
+        if rank in self.unresponsive:
             return None
-        one = self.ranks[rank]
-        armed, armed_step, _content = one.armed or (0, 0, ())
+        state = self.ranks[rank]
+        armed, armed_step, _placement = state.armed or (0, 0, ())
         return RankReport(
             group='g',
             epoch=self.epoch,
@@ -81,83 +81,83 @@
             size=self.size,
             open=True,
             step=self.step,
-            version=one.version,
-            prepared=one.prepared,
-            armed=armed,
+            version=state.version,
+            prepared_version=state.prepared_version,
+            armed_version=armed,
             armed_step=armed_step,
-            held=one.held,
+            held_step=state.held_step,
         )
 
-    async def order(self, rank: int, order: MapOrder) -> OrderResult:
+    async def send_order(self, rank: int, order: MapOrder) -> OrderResult:
         await trio.sleep(0.002)
-        if rank in self.silent:
+        if rank in self.unresponsive:
             await trio.sleep(ORDER_TIMEOUT_S)
             return OrderResult.UNANSWERED
-        if self.source.random() < self.late_share:
-            self._nursery.start_soon(self._carry_out_late, rank, order)
+        if self.random_source.random() < self.late_share:
+            self._nursery.start_soon(self._execute_late, rank, order)
             await trio.sleep(ORDER_TIMEOUT_S)
             return OrderResult.UNANSWERED
-        return self._carry_out(rank, order)
+        return self._execute(rank, order)
 
-    async def _carry_out_late(self, rank: int, order: MapOrder) -> None:
-        await trio.sleep(self.source.uniform(2, 12))
-        self._carry_out(rank, order)
+    async def _execute_late(self, rank: int, order: MapOrder) -> None:
+        await trio.sleep(self.random_source.uniform(2, 12))
+        self._execute(rank, order)
 
-    def _begin_pass(self) -> None:
+    def _begin_step(self) -> None:
         self.step += 1
         for rank in self.ranks:
             if rank.armed is not None and rank.armed[1] == self.step:
                 rank.version = rank.armed[0]
-                rank.content = rank.armed[2]
+                rank.placement = rank.armed[2]
                 rank.armed = None
-        if len({(one.version, one.content) for one in self.ranks}) > 1:
-            self.split.append(self.step)
+        if len({(rank.version, rank.placement) for rank in self.ranks}) > 1:
+            self.mixed_steps.append(self.step)
 
-    def _carry_out(self, number: int, order: MapOrder) -> OrderResult:
+    def _execute(self, number: int, order: MapOrder) -> OrderResult:
         rank = self.ranks[number]
         if order.epoch != self.epoch:
             return OrderResult.REFUSED
-        carry_out = {
-            Verb.PREPARE: self._prepare,
-            Verb.ARM: self._arm,
-            Verb.DISARM: self._disarm,
-            Verb.HOLD: self._hold,
-            Verb.GO: self._go,
+        execute = {
+            OrderKind.PREPARE: self._prepare,
+            OrderKind.ARM: self._arm,
+            OrderKind.DISARM: self._disarm,
+            OrderKind.HOLD: self._hold,
+            OrderKind.RELEASE: self._release,
         }
-        return carry_out[order.verb](rank, order)
+        return execute[order.kind](rank, order)
 
     def _prepare(self, rank: FakeRank, order: MapOrder) -> OrderResult:
-        if rank.prepared == order.version:
+        if rank.prepared_version == order.version:
             return OrderResult.DONE
-        if rank.preparing == order.version:
+        if rank.preparing_version == order.version:
             return OrderResult.BEGUN
-        if rank.armed or order.version <= rank.highest:
+        if rank.armed or order.version <= rank.highest_version:
             return OrderResult.REFUSED
-        rank.highest = order.version
-        rank.preparing = order.version
-        rank.prepared = 0
+        rank.highest_version = order.version
+        rank.preparing_version = order.version
+        rank.prepared_version = 0
         self._nursery.start_soon(self._copy, rank, order)
         return OrderResult.BEGUN
 
     async def _copy(self, rank: FakeRank, order: MapOrder) -> None:
         await trio.sleep(COPY_S)
-        if rank.preparing == order.version:
-            rank.preparing = 0
-            rank.prepared = order.version
-            rank.prepared_content = order.placement
+        if rank.preparing_version == order.version:
+            rank.preparing_version = 0
+            rank.prepared_version = order.version
+            rank.prepared_placement = order.placement
 
     def _arm(self, rank: FakeRank, order: MapOrder) -> OrderResult:
-        if order.version != rank.prepared or order.step <= self.step:
+        if order.version != rank.prepared_version or order.step <= self.step:
             return OrderResult.REFUSED
-        rank.armed = (order.version, order.step, rank.prepared_content)
+        rank.armed = (order.version, order.step, rank.prepared_placement)
         return OrderResult.DONE
 
     def _hold(self, rank: FakeRank, order: MapOrder) -> OrderResult:
-        if rank.held == order.step:
+        if rank.held_step == order.step:
             return OrderResult.DONE
-        if rank.held or order.step <= self.step:
+        if rank.held_step or order.step <= self.step:
             return OrderResult.REFUSED
-        rank.held = order.step
+        rank.held_step = order.step
         return OrderResult.DONE
 
     def _disarm(self, rank: FakeRank, order: MapOrder) -> OrderResult:
@@ -167,7 +167,7 @@
             rank.armed = None
         return OrderResult.DONE
 
-    def _go(self, rank: FakeRank, order: MapOrder) -> OrderResult:
-        if rank.held == order.step:
-            rank.held = 0
+    def _release(self, rank: FakeRank, order: MapOrder) -> OrderResult:
+        if rank.held_step == order.step:
+            rank.held_step = 0
         return OrderResult.DONE
--- a/tests/test_map_change.py
+++ b/tests/test_map_change.py
@@ -1,4 +1,4 @@
-"""Change maps on a group in memory whose orders are lost and come late."""
+"""Test map changes on a simulated group whose orders get lost or come late."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from trio.testing import MockClock
 
 from amaranthrail.clock import Clock
-from amaranthrail.ranks.change import ChangeOutcome, MapChange, Target
-from amaranthrail.ranks.ports import MapOrder, Verb
+from amaranthrail.ranks.change import ChangeOutcome, ChangeRequest, MapChange
+from amaranthrail.ranks.ports import MapOrder, OrderKind
 
 from .lockstep import FakeGroup
 from .rankbench import schedule_by
@@ -21,7 +21,7 @@
 SECOND = (((0, 1), (1,), (2,), (3,), (4,), (5,)),)
 
 
-def run_with(
+def run_scenario(
     group: FakeGroup,
     scenario: Callable[[MapChange], Awaitable[None]],
     seed: int = 0,
@@ -29,104 +29,104 @@
     async def main() -> None:
         schedule_by(seed)
         clock = Clock(trio.current_time)
-        change = MapChange(0, group.ask, group.order, clock)
+        change = MapChange(0, group.fetch_report, group.send_order, clock)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(group.run, nursery)
             await trio.sleep(0.5)
             await scenario(change)
-            # What is still under way must do no harm either.
+            # Late orders that are still to be executed must do no harm either.
             await trio.sleep(15)
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=MockClock(autojump_threshold=0))
 
 
-def target(version: int = 10, epoch: int = 1) -> Target:
-    return Target(epoch, version, SECOND, FIRST, pass_ms=40)
+def make_request(version: int = 10, epoch: int = 1) -> ChangeRequest:
+    return ChangeRequest(epoch, version, SECOND, FIRST, step_ms=40)
 
 
-def test_all_ranks_change_at_one_pass() -> None:
+def test_all_ranks_change_at_the_same_step() -> None:
     group = FakeGroup(RANKS, random.Random(1))
 
     async def scenario(change: MapChange) -> None:
-        outcome = await change.run(range(RANKS), target())
+        outcome = await change.run(range(RANKS), make_request())
         assert outcome is ChangeOutcome.DONE
 
-    run_with(group, scenario)
+    run_scenario(group, scenario)
     assert group.versions == {10}
-    assert not group.split
+    assert not group.mixed_steps
 
 
 @pytest.mark.parametrize('seed', range(24))
-def test_late_orders_never_split_the_group(seed: int) -> None:
+def test_late_orders_never_cause_steps_with_different_maps(seed: int) -> None:
     group = FakeGroup(RANKS, random.Random(seed), late_share=0.5)
     outcomes = []
 
     async def scenario(change: MapChange) -> None:
-        for turn in range(1, 10):
-            plan = target(version=10 * turn)
-            outcomes.append(await change.run(range(RANKS), plan))
+        for number in range(1, 10):
+            request = make_request(version=10 * number)
+            outcomes.append(await change.run(range(RANKS), request))
             if outcomes[-1] is ChangeOutcome.STUCK:
                 return
             await trio.sleep(0.3)
 
-    run_with(group, scenario, seed)
-    assert not group.split
+    run_scenario(group, scenario, seed)
+    assert not group.mixed_steps
     assert ChangeOutcome.DONE in outcomes
 
 
-def test_a_rank_that_cannot_be_armed_undoes_the_change() -> None:
+def test_a_rank_that_refuses_to_be_armed_rolls_the_change_back() -> None:
     group = FakeGroup(RANKS, random.Random(2))
     refused: list[MapOrder] = []
-    order_rank = group.order
+    send_to_group = group.send_order
 
-    async def order(rank: int, order: MapOrder) -> object:
-        if rank == 3 and order.verb is Verb.ARM:
+    async def send_order(rank: int, order: MapOrder) -> object:
+        if rank == 3 and order.kind is OrderKind.ARM:
             refused.append(order)
-            group.ranks[3].prepared = 0
-        return await order_rank(rank, order)
+            group.ranks[3].prepared_version = 0
+        return await send_to_group(rank, order)
 
-    group.order = order  # type: ignore[method-assign, assignment]
+    group.send_order = send_order  # type: ignore[method-assign, assignment]
 
     async def scenario(change: MapChange) -> None:
-        outcome = await change.run(range(RANKS), target())
-        assert outcome is ChangeOutcome.UNDONE
+        outcome = await change.run(range(RANKS), make_request())
+        assert outcome is ChangeOutcome.ROLLED_BACK
         step = group.step
         await trio.sleep(1)
         assert group.step > step
 
-    run_with(group, scenario)
+    run_scenario(group, scenario)
     assert refused
     assert group.versions == {0}
-    assert not group.split
+    assert not group.mixed_steps
 
 
-def test_a_group_that_forms_anew_is_left_alone() -> None:
+def test_a_change_stops_at_a_new_group_epoch() -> None:
     group = FakeGroup(RANKS, random.Random(3))
 
     async def scenario(change: MapChange) -> None:
         async with trio.open_nursery() as nursery:
 
-            async def form_anew() -> None:
+            async def start_new_epoch() -> None:
                 await trio.sleep(0.1)
-                group.form_anew()
+                group.start_new_epoch()
 
-            nursery.start_soon(form_anew)
-            outcome = await change.run(range(RANKS), target())
+            nursery.start_soon(start_new_epoch)
+            outcome = await change.run(range(RANKS), make_request())
             assert outcome is not ChangeOutcome.DONE
 
-    run_with(group, scenario)
+    run_scenario(group, scenario)
     assert group.versions == {0}
-    assert not any(rank.held for rank in group.ranks)
+    assert not any(rank.held_step for rank in group.ranks)
 
 
-def test_a_silent_rank_leaves_the_map_as_it_is() -> None:
-    group = FakeGroup(RANKS, random.Random(4), silent={5})
+def test_an_unresponsive_rank_prevents_the_change() -> None:
+    group = FakeGroup(RANKS, random.Random(4), unresponsive={5})
 
     async def scenario(change: MapChange) -> None:
-        outcome = await change.run(range(RANKS), target())
+        outcome = await change.run(range(RANKS), make_request())
         assert outcome is ChangeOutcome.NOT_PREPARED
 
-    run_with(group, scenario)
+    run_scenario(group, scenario)
     assert group.versions == {0}
-    assert not any(rank.held for rank in group.ranks)
+    assert not any(rank.held_step for rank in group.ranks)
