--- a/src/amaranthrail/platform/__init__.py
+++ b/src/amaranthrail/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Translate between the users' platform and this package's own types."""
+"""Translate between the users' platform and the types of this package."""
--- a/src/amaranthrail/platform/__main__.py
+++ b/src/amaranthrail/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Start this host's process; ``python3 -m amaranthrail.platform``."""
+"""Start the entry of this host: ``python3 -m amaranthrail.platform``."""
 
 from __future__ import annotations
 
@@ -7,10 +7,11 @@
 
 
 def start() -> None:
-    """Run the program, whose imports take a third of a second.
+    """Ignore SIGHUP, then import and run the program.
 
-    Until it listens for SIGHUP, that signal would end it; the settings that it
-    tells of are read at the start anyway.
+    The imports take a third of a second. Until the program handles SIGHUP,
+    that signal would end the process; changed settings are read at the start
+    anyway.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     import_module('amaranthrail.platform.program').main()
--- a/src/amaranthrail/platform/headers.py
+++ b/src/amaranthrail/platform/headers.py
@@ -1,4 +1,4 @@
-"""Translate the platform's header fields."""
+"""Translate the platform's HTTP header fields from and to own types."""
 
 from __future__ import annotations
 
@@ -8,17 +8,18 @@
 from ..outcomes import Refusal
 from ..types import HeaderList, Millis
 
-_ATTEMPT = 'attempt-id'
-_REMAINING = 'deadline-remaining-ms'
-_EXPECT = 'expect-replica'
+_ATTEMPT_ID = 'attempt-id'
+_DEADLINE_REMAINING = 'deadline-remaining-ms'
+_EXPECT_REPLICA = 'expect-replica'
 _ORGANISATION = 'tenant'
-_LAST_EVENT = 'last-event-id'
+_LAST_EVENT_ID = 'last-event-id'
 _PRIORITY = 'request-priority'
 _CREDENTIAL_SCHEME = 'token '
-_MISDIRECTED = 421
-_LOAD_FIELDS = 3
+_HTTP_MISDIRECTED = 421
+#: Numbers in replica-load: requests running, requests waiting, slots.
+_LOAD_NUMBERS = 3
 
-#: Fields that concern one connection alone.
+#: Fields that apply to a single connection.
 _HOP_BY_HOP = frozenset(
     (
         'connection',
@@ -34,79 +35,91 @@
         'content-length',
     ),
 )
-#: Fields that the entry sets itself, whatever the caller sent.
-_OURS = frozenset(
+#: Request fields that only the entry may set; the caller's are dropped.
+_SET_BY_ENTRY = frozenset(
     (
         'authorization',
-        _REMAINING,
-        _EXPECT,
+        _DEADLINE_REMAINING,
+        _EXPECT_REPLICA,
         _ORGANISATION,
-        _LAST_EVENT,
+        _LAST_EVENT_ID,
         _PRIORITY,
     ),
 )
-_NOT_PASSED_ON = _HOP_BY_HOP | _OURS
+_NOT_FORWARDED = _HOP_BY_HOP | _SET_BY_ENTRY
 
 
-def read_call(request: HttpRequest) -> CallFacts:
-    """Return what a caller's header fields say."""
+def read_request_metadata(request: HttpRequest) -> CallFacts:
+    """Return a request's attempt, credential, deadline and other fields."""
     return CallFacts(
-        attempt=request.header(_ATTEMPT) or '',
-        credential=_read_credential(request.header('authorization')),
-        patience_ms=_read_millis(request.header(_REMAINING)),
-        last_event=request.header(_LAST_EVENT),
-        expected_tokens=_read_count(request.header('length-hint') or ''),
+        attempt=request.header(_ATTEMPT_ID) or '',
+        credential=_parse_credential(request.header('authorization')),
+        patience_ms=_parse_millis(request.header(_DEADLINE_REMAINING)),
+        last_event=request.header(_LAST_EVENT_ID),
+        expected_tokens=_parse_count(request.header('length-hint') or ''),
     )
 
 
-def request_headers(request: HttpRequest, handover: Handover) -> HeaderList:
-    """Return the fields with which a request is passed on."""
-    dropped = _NOT_PASSED_ON | _named_by_connection(request)
-    passed = [field for field in request.headers if field[0] not in dropped]
+def build_request_headers(
+    request: HttpRequest,
+    forwarding: Handover,
+) -> HeaderList:
+    """Return the header fields of the request that an upstream receives.
+
+    A remaining time under 1 ms is stated as 1.
+    """
+    dropped = _NOT_FORWARDED | _connection_options(request)
+    forwarded = [field for field in request.headers if field[0] not in dropped]
     added = [
-        (_REMAINING, str(max(1, int(handover.left_ms)))),
-        (_EXPECT, handover.upstream),
-        (_PRIORITY, str(handover.priority)),
+        (_DEADLINE_REMAINING, str(max(1, int(forwarding.left_ms)))),
+        (_EXPECT_REPLICA, forwarding.upstream),
+        (_PRIORITY, str(forwarding.priority)),
     ]
-    if handover.organisation is not None:
-        added.append((_ORGANISATION, handover.organisation))
-    if handover.last_event is not None:
-        added.append((_LAST_EVENT, handover.last_event))
-    return (*passed, *added)
+    if forwarding.organisation is not None:
+        added.append((_ORGANISATION, forwarding.organisation))
+    if forwarding.last_event is not None:
+        added.append((_LAST_EVENT_ID, forwarding.last_event))
+    return (*forwarded, *added)
+
 
+def read_response_metadata(status: int, headers: HeaderList) -> AnswerFacts:
+    """Return what a response says of the attempt and of the upstream's load.
 
-def read_answer(status: int, headers: HeaderList) -> AnswerFacts:
-    """Return what the header fields of an upstream's answer say."""
-    known = dict(headers)
+    The field not-executed and status 421 prove that the request has not run;
+    421 also says that another upstream has the address by now.
+    """
+    fields = dict(headers)
     return AnswerFacts(
-        attempt=known.get(_ATTEMPT),
-        signed='replica-signature' in known,
-        refused_unrun='not-executed' in known or status == _MISDIRECTED,
-        replaced=status == _MISDIRECTED,
-        encoded='content-encoding' in known,
-        load=_read_load(known.get('replica-load')),
+        attempt=fields.get(_ATTEMPT_ID),
+        signed='replica-signature' in fields,
+        refused_unrun='not-executed' in fields or status == _HTTP_MISDIRECTED,
+        replaced=status == _HTTP_MISDIRECTED,
+        encoded='content-encoding' in fields,
+        load=_parse_load(fields.get('replica-load')),
     )
 
 
-def answer_headers(headers: HeaderList) -> HeaderList:
-    """Return the fields of an upstream's answer that its caller gets."""
+def filter_response_headers(headers: HeaderList) -> HeaderList:
+    """Return the response fields that are forwarded to the caller."""
     return tuple(field for field in headers if field[0] not in _HOP_BY_HOP)
 
 
-def refusal_headers(refusal: Refusal) -> HeaderList:
-    """Return when a refused caller may return, in seconds and fractions."""
+def build_refusal_headers(refusal: Refusal) -> HeaderList:
+    """Return retry-after in seconds with three decimals, if there is one."""
     if refusal.retry_after_ms is None:
         return ()
     seconds = refusal.retry_after_ms / MS_PER_SECOND
     return (('retry-after', f'{seconds:.3f}'),)
 
 
-def _named_by_connection(request: HttpRequest) -> frozenset[str]:
-    named = request.header('connection') or ''
-    return frozenset(name.strip().lower() for name in named.split(','))
+def _connection_options(request: HttpRequest) -> frozenset[str]:
+    """Return the fields that the Connection field marks as hop-by-hop."""
+    options = request.header('connection') or ''
+    return frozenset(name.strip().lower() for name in options.split(','))
 
 
-def _read_credential(text: str | None) -> str | None:
+def _parse_credential(text: str | None) -> str | None:
+    """Return the token, '' for another scheme, None without credentials."""
     if text is None:
         return None
     if text[: len(_CREDENTIAL_SCHEME)].lower() != _CREDENTIAL_SCHEME:
@@ -114,7 +127,7 @@
     return text[len(_CREDENTIAL_SCHEME) :].strip()
 
 
-def _read_millis(text: str | None) -> Millis | None:
+def _parse_millis(text: str | None) -> Millis | None:
     if text is None:
         return None
     try:
@@ -123,12 +136,13 @@
         return None
 
 
-def _read_count(text: str) -> int:
+def _parse_count(text: str) -> int:
+    """Return a decimal number, 0 for anything else."""
     return int(text) if text.strip().isdecimal() else 0
 
 
-def _read_load(text: str | None) -> ReportedLoad | None:
-    counts = [_read_count(part) for part in (text or '').split(',')]
-    if len(counts) != _LOAD_FIELDS:
+def _parse_load(text: str | None) -> ReportedLoad | None:
+    numbers = [_parse_count(part) for part in (text or '').split(',')]
+    if len(numbers) != _LOAD_NUMBERS:
         return None
-    return ReportedLoad(*counts)
+    return ReportedLoad(*numbers)
--- a/src/amaranthrail/platform/program.py
+++ b/src/amaranthrail/platform/program.py
@@ -1,4 +1,4 @@
-"""Run this host's process as the platform's settings file describes it."""
+"""Run the entry of this host with the platform's settings file."""
 
 from __future__ import annotations
 
@@ -27,23 +27,23 @@
 from .store import PlatformStore
 
 EXIT_SETTING = 2
-#: Time between two looks at the settings file, in ms.
+#: Time between two checks whether the settings file has changed, in ms.
 SETTINGS_INTERVAL_MS = 1000.0
 _log = part_logger('settings')
 WIRE_FORMAT = Dialect(
     configuration_key='config',
-    read_call=headers.read_call,
-    request_headers=headers.request_headers,
-    read_answer=headers.read_answer,
-    answer_headers=headers.answer_headers,
-    refusal_headers=headers.refusal_headers,
+    read_call=headers.read_request_metadata,
+    request_headers=headers.build_request_headers,
+    read_answer=headers.read_response_metadata,
+    answer_headers=headers.filter_response_headers,
+    refusal_headers=headers.build_refusal_headers,
     read_deployment=records.read_deployment,
     read_upstream=records.read_upstream,
 )
 
 
 def main() -> None:
-    """Run until stopped by a signal."""
+    """Run until SIGTERM; exit with status 2 if the settings are not valid."""
     path = Path(os.environ.get(SETTINGS_VARIABLE, ''))
     writer = BoundedWriter(sys.stdout.fileno())
     try:
@@ -69,14 +69,14 @@
 async def _run(entry: DirectEntry, path: Path, writer: BoundedWriter) -> None:
     async with trio.open_nursery() as nursery:
         nursery.start_soon(writer.run)
-        nursery.start_soon(_take_signals, entry, path)
+        nursery.start_soon(_handle_signals, entry, path)
         nursery.start_soon(_watch_settings, entry, path)
         await entry.run()
         nursery.cancel_scope.cancel()
     writer.flush_now()
 
 
-async def _take_signals(entry: DirectEntry, path: Path) -> None:
+async def _handle_signals(entry: DirectEntry, path: Path) -> None:
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGHUP) as signals:
         async for number in signals:
             if number == signal.SIGTERM:
@@ -86,17 +86,17 @@
 
 
 async def _watch_settings(entry: DirectEntry, path: Path) -> None:
-    """Reload the file where it has changed without a signal."""
-    changed_at = _changed_at(path)
+    """Reload the settings when the file changes, also without SIGHUP."""
+    modified_at = _modified_at(path)
     while True:
         await sleep(SETTINGS_INTERVAL_MS)
-        latest = _changed_at(path)
-        if latest != changed_at:
-            changed_at = latest
+        latest = _modified_at(path)
+        if latest != modified_at:
+            modified_at = latest
             _reload(entry, path)
 
 
-def _changed_at(path: Path) -> float | None:
+def _modified_at(path: Path) -> float | None:
     try:
         return path.stat().st_mtime
     except OSError as error:
--- a/src/amaranthrail/platform/records.py
+++ b/src/amaranthrail/platform/records.py
@@ -1,4 +1,4 @@
-"""Decode the records that operator and upstreams keep in the store."""
+"""Decode the records that the operator and upstreams write to the store."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 from ..types import DomainName, Millis, OrganisationName, ServiceName
 
 _BITS = 8
-#: Speed of a link for which none is stated, in megabits a second.
+#: Speed of a link that states none or less, in megabits per second.
 _MIN_LINK_MBPS = 1.0
 
 
-class _WireShare(msgspec.Struct):
+class _WireServiceShare(msgspec.Struct):
     service: str
     weight: float = 1
 
@@ -40,7 +40,7 @@
     target_latency_ms: float = 0
     priority: int = DEFAULT_PRIORITY
     service: str = ''
-    traffic_split: list[_WireShare] = []
+    traffic_split: list[_WireServiceShare] = []
     max_attempts: int = 1
     allow_anonymous: bool = False
     stream_resume: bool = False
@@ -48,17 +48,18 @@
 
 
 class _WireEngine(msgspec.Struct):
-    # The sets of layers that share one assignment, and the experts in each.
+    # Sets of layers that share one placement, and the experts in each.
     sets: int = 0
     experts: int = 0
-    # Experts that one rank may hold in one set, copies included.
+    # Experts that one rank may hold in one set, replicas included.
     placements: int = 0
-    # Experts new to a rank that one map may bring it in one set.
+    # Experts new to a rank that one map may add to it in one set.
     spare: int = 0
-    # Megabytes of one expert's weights, and megabits a second between hosts.
+    # Megabytes of one expert's weights, and megabits per second between hosts.
     expert_mb: float = 0
     link_mbps: float = 1
-    # Steps in one pass, each of which writes a token of each stream.
+    # Decoding iterations in one engine step, each of which writes one token of
+    # each stream.
     stride: int = 1
 
 
@@ -93,11 +94,11 @@
     address: str
     zone: str
     state: str
-    # How often the upstream has written here; orders have a count of the
-    # same name, but in its report.
+    # Number of times that the upstream has written here. The counter of the
+    # same name for orders is in the upstream's report.
     sequence: int
     slots: int = 1
-    # Wall time of its start, in milliseconds since the epoch.
+    # Wall-clock time of its start, in milliseconds since the Unix epoch.
     born: int = 0
 
 
@@ -106,32 +107,35 @@
 
 
 def read_deployment(text: bytes) -> Deployment | str:
-    """Return the configuration in a record, or what is wrong with it."""
+    """Return the configuration in a record, or an error message."""
     try:
         wire = _deployment_decoder.decode(text)
-        routes = tuple(_route(route) for route in wire.routes)
+        routes = tuple(_to_route(route) for route in wire.routes)
     except (msgspec.DecodeError, ValueError) as error:
         return f'configuration is not valid: {error}'
     credentials: dict[str, Organisation] | None = None
     if wire.tenants is not None:
-        credentials = _credentials(wire.tenants)
+        credentials = _index_credentials(wire.tenants)
     return Deployment(
         wire.version,
         routes,
-        {ServiceName(one.name): _service(one) for one in wire.services},
-        _limits(wire.limits),
+        {
+            ServiceName(service.name): _to_service(service)
+            for service in wire.services
+        },
+        _to_limits(wire.limits),
         credentials,
         text,
     )
 
 
 def read_upstream(name: str, text: bytes) -> UpstreamRecord | str:
-    """Return an upstream's record, or what is wrong with it."""
+    """Return an upstream's record, or an error message with its name."""
     try:
         wire = _upstream_decoder.decode(text)
         host, _, port = wire.address.rpartition(':')
         state = UpstreamState(wire.state)
-        number = int(port)
+        port_number = int(port)
     except (msgspec.DecodeError, ValueError) as error:
         return f'upstream {name!r} has no valid record: {error}'
     if not host or not wire.service:
@@ -140,7 +144,7 @@
         name,
         ServiceName(wire.service),
         host,
-        number,
+        port_number,
         DomainName(wire.zone),
         max(1, wire.slots),
         state,
@@ -150,7 +154,7 @@
     )
 
 
-def _route(wire: _WireRoute) -> Route:
+def _to_route(wire: _WireRoute) -> Route:
     shares = tuple(
         ServiceShare(ServiceName(share.service), share.weight)
         for share in wire.traffic_split
@@ -174,7 +178,7 @@
     )
 
 
-def _service(wire: _WireService) -> Service:
+def _to_service(wire: _WireService) -> Service:
     layout = None
     engine = wire.engine
     if engine is None:
@@ -187,15 +191,15 @@
             engine.spare,
             engine.expert_mb * _BITS / _link_mbps(engine) * MS_PER_SECOND,
         )
-    tokens_per_pass = max(1, engine.stride)
-    return Service(ServiceName(wire.name), layout, Engine(tokens_per_pass))
+    tokens_per_step = max(1, engine.stride)
+    return Service(ServiceName(wire.name), layout, Engine(tokens_per_step))
 
 
 def _link_mbps(engine: _WireEngine) -> float:
     return max(_MIN_LINK_MBPS, engine.link_mbps)
 
 
-def _limits(wire: _WireLimits) -> CallerLimits:
+def _to_limits(wire: _WireLimits) -> CallerLimits:
     return CallerLimits(
         wire.max_header_bytes,
         wire.max_body_bytes,
@@ -204,11 +208,12 @@
     )
 
 
-def _credentials(
-    wire: list[_WireOrganisation],
+def _index_credentials(
+    tenants: list[_WireOrganisation],
 ) -> dict[str, Organisation]:
+    """Return each organisation under each of its API keys."""
     return {
-        key: Organisation(OrganisationName(one.name), one.priority)
-        for one in wire
-        for key in one.api_keys
+        key: Organisation(OrganisationName(tenant.name), tenant.priority)
+        for tenant in tenants
+        for key in tenant.api_keys
     }
--- a/src/amaranthrail/platform/settings.py
+++ b/src/amaranthrail/platform/settings.py
@@ -1,4 +1,4 @@
-"""Read the platform's settings file."""
+"""Load an entry's settings from the platform's settings file."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 
 
 def load_settings(path: Path) -> DirectSettings:
-    """Return the settings in a file. Raises SettingError."""
+    """Return the settings in a file.
+
+    Raises SettingError if the file cannot be read or a setting is not valid.
+    """
     try:
         text = path.read_text()
     except OSError as error:
@@ -29,68 +32,74 @@
 
 
 def parse_settings(text: str) -> DirectSettings:
-    """Return the settings in lines of ``name=value``. Raises SettingError."""
+    """Return the settings in lines of ``name=value``; ignore unknown names.
+
+    Raises SettingError if a setting is missing or not valid.
+    """
     pairs = (line.partition('=') for line in text.splitlines())
-    fields = {name.strip(): given.strip() for name, _, given in pairs}
-    peer_port, metrics_port = _ports(fields)
+    fields = {name.strip(): text.strip() for name, _, text in pairs}
+    peer_port, metrics_port = _get_ports(fields)
     return DirectSettings(
-        name=_text(fields, 'node_name'),
-        host=_text(fields, 'ip'),
-        domain=DomainName(_text(fields, 'zone')),
-        callers=_address(fields, 'listen.front'),
-        probes=_address(fields, 'listen.ready'),
+        name=_get_text(fields, 'node_name'),
+        host=_get_text(fields, 'ip'),
+        domain=DomainName(_get_text(fields, 'zone')),
+        callers=_get_address(fields, 'listen.front'),
+        probes=_get_address(fields, 'listen.ready'),
         peer_port=peer_port,
         metrics_port=metrics_port,
-        store=_address(fields, 'platform.address'),
-        # Control addresses of hosts; entries talk on the internal ports.
+        store=_get_address(fields, 'platform.address'),
+        # The ports are those of the hosts' control addresses; entries use the
+        # internal ports for each other.
         seeds=tuple(
             seed.rpartition(':')[0]
             for seed in fields.get('seed_nodes', '').split(',')
             if seed
         ),
-        # Time that a process has between SIGTERM and SIGKILL.
-        shutdown_ms=Millis(_number(fields, 'bounds.grace_s') * MS_PER_SECOND),
+        # Time between SIGTERM and SIGKILL.
+        shutdown_ms=Millis(
+            _get_number(fields, 'bounds.grace_s') * MS_PER_SECOND
+        ),
         repeats=RepeatBounds(
-            ratio=_number(fields, 'bounds.retry_budget_ratio'),
-            slack=_number(fields, 'bounds.retry_budget_slack'),
+            ratio=_get_number(fields, 'bounds.retry_budget_ratio'),
+            slack=_get_number(fields, 'bounds.retry_budget_slack'),
             window_ms=Millis(
-                _number(fields, 'bounds.budget_window_s') * MS_PER_SECOND,
+                _get_number(fields, 'bounds.budget_window_s') * MS_PER_SECOND,
             ),
         ),
     )
 
 
-def _text(fields: Mapping[str, str], name: str) -> str:
-    found = fields.get(name, '')
-    if not found:
-        raise SettingError(name, found, 'give it in the settings file')
-    return found
+def _get_text(fields: Mapping[str, str], name: str) -> str:
+    text = fields.get(name, '')
+    if not text:
+        raise SettingError(name, text, 'give it in the settings file')
+    return text
 
 
-def _number(fields: Mapping[str, str], name: str) -> float:
-    text = _text(fields, name)
+def _get_number(fields: Mapping[str, str], name: str) -> float:
+    text = _get_text(fields, name)
     try:
         number = float(text)
     except ValueError as error:
         raise SettingError(name, text, 'give a number') from error
     if number < 0:
-        raise SettingError(name, text, 'give a number from 0')
+        raise SettingError(name, text, 'give a number of at least 0')
     return number
 
 
-def _address(fields: Mapping[str, str], name: str) -> Address:
-    text = _text(fields, name)
+def _get_address(fields: Mapping[str, str], name: str) -> Address:
+    text = _get_text(fields, name)
     try:
         return parse_address(text)
     except ValueError as error:
-        mend = 'give an IP number and a port, as in 127.0.0.1:8080'
-        raise SettingError(name, text, mend) from error
+        hint = 'give an IP address and a port, as in 127.0.0.1:8080'
+        raise SettingError(name, text, hint) from error
 
 
-def _ports(fields: Mapping[str, str]) -> tuple[int, int]:
-    """Return the first two of the ports that processes may use."""
+def _get_ports(fields: Mapping[str, str]) -> tuple[int, int]:
+    """Return the first two ports of the range that processes may use."""
     name = 'internal_ports'
-    text = _text(fields, name)
+    text = _get_text(fields, name)
     first, _, last = text.partition(',')
     if not (first.isdecimal() and last.isdecimal() and int(first) < int(last)):
         raise SettingError(name, text, 'give the first and the last port')
--- a/src/amaranthrail/platform/store.py
+++ b/src/amaranthrail/platform/store.py
@@ -1,4 +1,4 @@
-"""Call the platform's metadata store."""
+"""Read and write keyed topics of the platform's metadata store over HTTP."""
 
 from __future__ import annotations
 
@@ -20,13 +20,14 @@
 from ..exceptions import HttpError
 from ..logs import part_logger
 
-#: Bound of a call on top of the time that the store is asked to wait; the
-#: store takes 4 ms on the users' sheets, 60 times as long when it is slow.
+#: Timeout of a call in ms, on top of the time that the store is asked to wait.
+#: The store takes 4 ms on the users' data sheets, 60 times as long when it is
+#: slow.
 CALL_TIMEOUT_MS = 900
 _MAX_READ_KB = 1024
 _HTTP_OK = 200
 _HTTP_GONE = 410
-#: Records of a read begin after the end and the first offset kept.
+#: Head of a read's response: the end offset, then the oldest offset kept.
 _OFFSETS = struct.Struct('>QQ')
 _LENGTH = struct.Struct('>I')
 _TOPIC_NAMES = MappingProxyType(
@@ -57,26 +58,26 @@
     """Implement StorePort over HTTP."""
 
     def __init__(self, address: Address) -> None:
-        """Take the store's address."""
+        """Set the address of the store."""
         self._client = HttpClient(address)
 
     async def newest(self, topic: Topic) -> Snapshot | StoreFailure:
         """Return the newest record of each key; see StorePort."""
         records: list[StoreRecord] = []
-        first = f'/amaranthrail/log-newest?topic={_TOPIC_NAMES[topic]}&part=0'
-        target = first
+        base = f'/amaranthrail/log-newest?topic={_TOPIC_NAMES[topic]}&part=0'
+        target = base
         while True:
-            answer = await self._call('GET', target, b'')
-            if isinstance(answer, StoreFailure):
-                return answer
+            response = await self._call('GET', target, b'')
+            if isinstance(response, StoreFailure):
+                return response
             try:
-                page = _page_decoder.decode(answer.body)
+                page = _page_decoder.decode(response.body)
                 records.extend(_read_item(record) for record in page.records)
             except (msgspec.DecodeError, ValueError) as error:
                 return _malformed(topic, error)
             if not page.has_more or not page.records:
                 return Snapshot(tuple(records), page.end_offset)
-            target = f'{first}&after={page.records[-1].key}'
+            target = f'{base}&after={page.records[-1].key}'
 
     async def read(
         self,
@@ -84,16 +85,16 @@
         offset: int,
         wait_ms: int,
     ) -> Changes | StoreFailure:
-        """Return what follows an offset; see StorePort."""
+        """Return the records from an offset on; see StorePort."""
         target = (
             f'/amaranthrail/log-read?topic={_TOPIC_NAMES[topic]}&part=0'
             f'&from={offset}&max_kb={_MAX_READ_KB}&wait_ms={wait_ms}'
         )
-        answer = await self._call('GET', target, b'', wait_ms)
-        if isinstance(answer, StoreFailure):
-            return answer
+        response = await self._call('GET', target, b'', wait_ms)
+        if isinstance(response, StoreFailure):
+            return response
         try:
-            end, records = read_records(answer.body)
+            end, records = read_records(response.body)
         except (struct.error, ValueError) as error:
             return _malformed(topic, error)
         if end < offset:
@@ -111,8 +112,8 @@
         record = b''.join((bytes((len(name),)), name, payload))
         target = f'/amaranthrail/log-append?topic={_TOPIC_NAMES[topic]}&part=0'
         body = _LENGTH.pack(len(record)) + record
-        answer = await self._call('POST', target, body)
-        return answer if isinstance(answer, StoreFailure) else None
+        response = await self._call('POST', target, body)
+        return response if isinstance(response, StoreFailure) else None
 
     async def _call(
         self,
@@ -121,21 +122,21 @@
         body: bytes,
         wait_ms: int = 0,
     ) -> HttpAnswer | StoreFailure:
-        answer: HttpAnswer | None = None
+        response: HttpAnswer | None = None
         try:
             with move_on_after(wait_ms + CALL_TIMEOUT_MS):
-                answer = await self._client.call(method, target, body=body)
+                response = await self._client.call(method, target, body=body)
         except HttpError as error:
             _log.warning('call failed', target=target, cause=str(error))
             return StoreFailure.UNREACHABLE
-        if answer is None:
+        if response is None:
             _log.warning('call timed out', target=target)
             return StoreFailure.UNREACHABLE
-        if answer.status == _HTTP_OK:
-            return answer
-        if answer.status == _HTTP_GONE:
+        if response.status == _HTTP_OK:
+            return response
+        if response.status == _HTTP_GONE:
             return StoreFailure.HISTORY_GONE
-        _log.warning('call refused', target=target, status=answer.status)
+        _log.warning('call refused', target=target, status=response.status)
         return StoreFailure.REFUSED
 
 
@@ -144,9 +145,9 @@
 
 
 def read_records(body: bytes) -> tuple[int, list[StoreRecord]]:
-    """Return the end offset and the records of a read.
+    """Return the end offset and the records in the response to a read.
 
-    Raises struct.error or ValueError for bytes that are no records.
+    Raises struct.error or ValueError if the bytes are no records.
     """
     end, _ = _OFFSETS.unpack_from(body)
     records = []
@@ -156,7 +157,7 @@
         position += _LENGTH.size
         record = body[position : position + length]
         if len(record) < length:
-            raise ValueError('record is cut')
+            raise ValueError('record is truncated')
         records.append(_read_record(record))
         position += length
     return end, records
@@ -171,5 +172,5 @@
 
 
 def _malformed(topic: Topic, error: Exception) -> StoreFailure:
-    _log.warning('answer not understood', topic=topic.value, cause=str(error))
+    _log.warning('response not decoded', topic=topic.value, cause=str(error))
     return StoreFailure.MALFORMED
--- a/tests/platformbench.py
+++ b/tests/platformbench.py
@@ -1,4 +1,4 @@
-"""Run a direct entry in this process against stand-ins on loopback."""
+"""Run direct entries in the test process against stand-ins on loopback."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 
 
 class PlatformBench:
-    """Hold the stand-ins of one test and the entries that use them."""
+    """Run the stand-ins of one test and start entries that use them."""
 
     def __init__(self, nursery: trio.Nursery) -> None:
-        """Take where the servers run."""
+        """Set the nursery that runs the servers and entries."""
         self._nursery = nursery
         self._store_address = Address('', 0)
         self.log = KeyedLog()
@@ -73,7 +73,7 @@
             'seed_nodes': '',
             **changes,
         }
-        lines = [f'{name}={given}' for name, given in fields.items()]
+        lines = [f'{name}={text}' for name, text in fields.items()]
         settings = parse_settings('\n'.join((SETTINGS, *lines)))
         store = PlatformStore(settings.store)
         entry = DirectEntry(settings, store, WIRE_FORMAT, HttpRank)
@@ -82,10 +82,10 @@
 
 
 class RunningEntry:
-    """Call one entry as clients do."""
+    """Send requests to one entry as clients do."""
 
     def __init__(self, entry: DirectEntry, address: Address) -> None:
-        """Take the entry and where it serves callers."""
+        """Set the entry and the address on which it serves callers."""
         self.entry = entry
         self.address = address
         self.client = HttpClient(address)
@@ -100,27 +100,30 @@
         method: str = 'GET',
         **headers: str,
     ) -> HttpAnswer:
-        """Return the answer to one call with a valid key."""
+        """Send a request with a valid API key; return the response.
+
+        Underscores in the names of ``headers`` become hyphens.
+        """
         fields = {
             'host': 'h.example',
             'attempt-id': f'a{next(self._attempts)}',
             'authorization': 'Token k1',
             'deadline-remaining-ms': '1500',
-            **{name.replace('_', '-'): one for name, one in headers.items()},
+            **{name.replace('_', '-'): text for name, text in headers.items()},
         }
         return await self.client.call(method, path, tuple(fields.items()))
 
 
-async def until(holds: Callable[[], bool], bound_s: float = 8) -> None:
-    """Return once something holds; fail where it does not in time."""
+async def until(condition: Callable[[], bool], bound_s: float = 8) -> None:
+    """Wait until a condition is true; raise trio.TooSlowError on timeout."""
     with trio.fail_after(bound_s):
-        while not holds():  # noqa: ASYNC110
+        while not condition():  # noqa: ASYNC110
             await trio.sleep(0.01)
 
 
 @asynccontextmanager
 async def platform_bench() -> AsyncIterator[PlatformBench]:
-    """Give a bench with a store and a configuration."""
+    """Yield a bench with a running store and a configuration in it."""
     async with trio.open_nursery() as nursery:
         bench = PlatformBench(nursery)
         await bench.start()
@@ -132,7 +135,7 @@
 def run_on_platform(
     scenario: Callable[[PlatformBench], Awaitable[None]],
 ) -> None:
-    """Run a scenario on a bench of its own."""
+    """Run a scenario on a new bench, for at most 30 s."""
 
     async def main() -> None:
         with trio.fail_after(30):
@@ -143,7 +146,7 @@
 
 
 def _next_host() -> str:
-    """Return a loopback address of this process's own.
+    """Return a loopback address for use by this process alone.
 
     All entries of a deployment have the same ports and differ by host.
     """
--- a/tests/platformbuild.py
+++ b/tests/platformbuild.py
@@ -1,4 +1,4 @@
-"""Build what the users' platform writes: settings, records, answers."""
+"""Build settings, records and requests in the formats of the platform."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def configuration(version: int = 1, **changes: Any) -> bytes:
-    """Return a configuration with a route for each kind of call."""
+    """Return a configuration record with a route for each kind of call."""
     fields: dict[str, Any] = {
         'version': version,
         'routes': [
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -1,4 +1,4 @@
-"""Decode the platform's formats, whole and broken."""
+"""Test decoding of valid and broken settings, records and header fields."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 )
 
 
-def deployment(text: bytes) -> Deployment:
-    read = records.read_deployment(text)
-    assert isinstance(read, Deployment), read
-    return read
+def read_valid_deployment(text: bytes) -> Deployment:
+    deployment = records.read_deployment(text)
+    assert isinstance(deployment, Deployment), deployment
+    return deployment
 
 
-def test_settings_are_read_and_unknown_ones_ignored() -> None:
+def test_settings_are_parsed_and_unknown_ones_ignored() -> None:
     settings = parse_settings(SETTINGS)
     assert settings.name == 'front-a-1'
     assert str(settings.callers) == '127.0.0.1:8227'
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize(
-    ('line', 'named'),
+    ('line', 'setting'),
     [
         ('node_name=', 'node_name'),
         ('listen.front=nowhere', 'listen.front'),
@@ -52,23 +52,28 @@
         ('platform.address=', 'platform.address'),
     ],
 )
-def test_wrong_settings_are_named(line: str, named: str) -> None:
-    with pytest.raises(SettingError, match=named):
+def test_error_names_the_invalid_setting(line: str, setting: str) -> None:
+    with pytest.raises(SettingError, match=setting):
         parse_settings(f'{SETTINGS}\n{line}\n')
 
 
-def test_a_missing_settings_file_is_named(tmp_path: Any) -> None:
+def test_error_names_the_variable_of_a_missing_settings_file(
+    tmp_path: Any,
+) -> None:
     with pytest.raises(SettingError, match='AMARANTHRAIL_CONFIG'):
         load_settings(tmp_path / 'none')
 
 
-def test_configuration_is_read() -> None:
-    read = deployment(configuration(7))
-    assert (read.version, read.limits.max_body_bytes) == (7, 4096)
-    assert (read.credentials or {})['k2'].name == 'band'
-    found = read.find_route('H.example', '/stream/x')
-    assert found is not None
-    assert (found.kind, found.repeatable) == (CallKind.STREAMING, True)
+def test_configuration_is_decoded() -> None:
+    deployment = read_valid_deployment(configuration(7))
+    assert (deployment.version, deployment.limits.max_body_bytes) == (7, 4096)
+    assert (deployment.credentials or {})['k2'].name == 'band'
+    stream_route = deployment.find_route('H.example', '/stream/x')
+    assert stream_route is not None
+    assert (stream_route.kind, stream_route.repeatable) == (
+        CallKind.STREAMING,
+        True,
+    )
 
 
 @pytest.mark.parametrize(
@@ -82,12 +87,12 @@
         configuration(routes=[{'name': 'x'}]),
     ],
 )
-def test_a_broken_configuration_is_refused(text: bytes) -> None:
+def test_an_invalid_configuration_returns_an_error(text: bytes) -> None:
     assert isinstance(records.read_deployment(text), str)
 
 
 def test_unknown_fields_of_a_configuration_are_ignored() -> None:
-    assert deployment(configuration(8, mood='good')).version == 8
+    assert read_valid_deployment(configuration(8, mood='good')).version == 8
 
 
 @pytest.mark.parametrize(
@@ -101,22 +106,23 @@
         ('/', None),
     ],
 )
-def test_the_longest_prefix_wins(path: str, name: str | None) -> None:
+def test_the_route_with_the_longest_path_prefix_matches(
+    path: str, name: str | None
+) -> None:
     short = route('short', 'idempotent', 'plain', path_prefix='/a/')
     long = route('long', 'idempotent', 'plain', path_prefix='/a/b/')
-    found = deployment(configuration(routes=[short, long])).find_route(
-        'h.example',
-        path,
-    )
-    assert (found and found.name) == name
+    matched = read_valid_deployment(
+        configuration(routes=[short, long]),
+    ).find_route('h.example', path)
+    assert (matched and matched.name) == name
 
 
-def test_an_upstream_record_is_read() -> None:
-    read = records.read_upstream('i-1', upstream_record('10.0.0.1:80'))
-    assert not isinstance(read, str)
-    assert (read.host, read.port) == ('10.0.0.1', 80)
-    assert read.state is UpstreamState.READY
-    assert read.age_key == (1000, 1)
+def test_an_upstream_record_is_decoded() -> None:
+    record = records.read_upstream('i-1', upstream_record('10.0.0.1:80'))
+    assert not isinstance(record, str)
+    assert (record.host, record.port) == ('10.0.0.1', 80)
+    assert record.state is UpstreamState.READY
+    assert record.age_key == (1000, 1)
 
 
 @pytest.mark.parametrize(
@@ -132,30 +138,30 @@
         {'born': 1.5},
     ],
 )
-def test_a_broken_upstream_record_names_nobody(changes: Any) -> None:
+def test_error_names_the_upstream_of_an_invalid_record(changes: Any) -> None:
     fields = json.loads(upstream_record('10.0.0.1:80')) | changes
-    read = records.read_upstream('i-1', json.dumps(fields).encode())
-    assert isinstance(read, str)
-    assert 'i-1' in read
+    error = records.read_upstream('i-1', json.dumps(fields).encode())
+    assert isinstance(error, str)
+    assert 'i-1' in error
 
 
-def test_bytes_that_are_no_record_name_nobody() -> None:
+def test_bytes_that_are_no_json_return_an_error() -> None:
     assert isinstance(records.read_upstream('i-1', b'\xff\x00'), str)
 
 
-def log_bytes(*keyed: tuple[bytes, bytes], end: int) -> bytes:
+def encode_log(*keyed_payloads: tuple[bytes, bytes], end: int) -> bytes:
     body = struct.pack('>QQ', end, 0)
-    for key, payload in keyed:
+    for key, payload in keyed_payloads:
         record = bytes((len(key),)) + key + payload
         body += struct.pack('>I', len(record)) + record
     return body
 
 
-def test_log_records_are_split() -> None:
-    body = log_bytes((b'config', b'{}'), (b'i-1', b''), end=9)
-    end, found = store.read_records(body)
+def test_log_records_are_decoded() -> None:
+    body = encode_log((b'config', b'{}'), (b'i-1', b''), end=9)
+    end, decoded = store.read_records(body)
     assert end == 9
-    assert [(one.key, one.payload) for one in found] == [
+    assert [(record.key, record.payload) for record in decoded] == [
         ('config', b'{}'),
         ('i-1', None),
     ]
@@ -163,15 +169,15 @@
 
 @pytest.mark.parametrize(
     'body',
-    [b'', b'123', log_bytes((b'k', b'value'), end=1)[:-2]],
+    [b'', b'123', encode_log((b'k', b'value'), end=1)[:-2]],
 )
-def test_cut_log_records_are_refused(body: bytes) -> None:
+def test_truncated_log_records_raise_an_error(body: bytes) -> None:
     with pytest.raises((ValueError, struct.error)):
         store.read_records(body)
 
 
-def test_a_call_is_passed_on_without_what_is_the_entrys_own() -> None:
-    asked = request(
+def test_request_fields_set_by_the_entry_replace_the_callers() -> None:
+    caller_request = request(
         headers=(
             ('authorization', 'Token k1'),
             ('tenant', 'forged'),
@@ -182,11 +188,17 @@
             ('prompt-prefix', 'ab:1'),
         ),
     )
-    assert headers.read_call(asked).credential == 'k1'
-    assert headers.read_call(asked).patience_ms == Millis(900)
-    handover = Handover('i-1', Millis(850.7), OrganisationName('band'), '4', 1)
-    sent = dict(headers.request_headers(asked, handover))
-    assert sent == {
+    assert headers.read_request_metadata(caller_request).credential == 'k1'
+    assert headers.read_request_metadata(caller_request).patience_ms == Millis(
+        900
+    )
+    forwarding = Handover(
+        'i-1', Millis(850.7), OrganisationName('band'), '4', 1
+    )
+    sent_fields = dict(
+        headers.build_request_headers(caller_request, forwarding)
+    )
+    assert sent_fields == {
         'host': 'h.example',
         'attempt-id': 'a1',
         'prompt-prefix': 'ab:1',
@@ -208,35 +220,35 @@
         (421, (), True, True),
     ],
 )
-def test_proof_that_a_call_has_not_run(
+def test_responses_that_prove_that_the_request_has_not_run(
     status: int,
     fields: Any,
     unrun: bool,
     replaced: bool,
 ) -> None:
-    facts = headers.read_answer(status, fields)
-    assert facts.refused_unrun is unrun
-    assert facts.replaced is replaced
+    metadata = headers.read_response_metadata(status, fields)
+    assert metadata.refused_unrun is unrun
+    assert metadata.replaced is replaced
 
 
 @pytest.mark.parametrize(
     ('text', 'load'),
     [('3,1,8', (3, 1, 8)), ('3,1', None), ('x,1,8', (0, 1, 8)), (None, None)],
 )
-def test_a_stated_load_is_read(text: str | None, load: Any) -> None:
+def test_reported_load_is_decoded(text: str | None, load: Any) -> None:
     fields = () if text is None else (('replica-load', text),)
-    found = headers.read_answer(200, fields).load
-    given = found and (found.running, found.waiting, found.slots)
-    assert given == load
+    reported = headers.read_response_metadata(200, fields).load
+    numbers = reported and (reported.running, reported.waiting, reported.slots)
+    assert numbers == load
 
 
-def test_a_refusal_states_fractions_of_a_second() -> None:
+def test_retry_after_has_fractions_of_a_second() -> None:
     refusal = not_run(Reason.NO_CAPACITY, '', 350)
-    assert headers.refusal_headers(refusal) == (('retry-after', '0.350'),)
+    assert headers.build_refusal_headers(refusal) == (('retry-after', '0.350'),)
 
 
-def test_a_link_without_speed_is_no_reason_to_fail() -> None:
+def test_a_link_speed_of_zero_is_accepted() -> None:
     engine = {'sets': 4, 'experts': 8, 'expert_mb': 880, 'link_mbps': 0}
     services = [{'name': 'engine', 'engine': engine}]
-    read = deployment(configuration(services=services))
-    assert len(read.services) == 1
+    deployment = read_valid_deployment(configuration(services=services))
+    assert len(deployment.services) == 1
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -1,4 +1,4 @@
-"""Run the entry's own program against stand-ins of the platform."""
+"""Test the entry as a process against stand-ins of the platform."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from .platformbench import until
 
 
-def with_fleet(
+def run_with_fleet(
     scenario: Callable[[PlatformFleet, EntryProcess], Awaitable[None]],
 ) -> None:
     async def main() -> None:
@@ -38,7 +38,7 @@
     trio.run(main)
 
 
-def test_the_program_serves_and_leaves() -> None:
+def test_a_stream_completes_during_graceful_shutdown() -> None:
     async def scenario(fleet: PlatformFleet, entry: EntryProcess) -> None:
         fleet.replicas['e1'].pause_s = 0.2
         async with trio.open_nursery() as nursery:
@@ -48,25 +48,25 @@
                 entry.signal(signal.SIGTERM)
 
             nursery.start_soon(stop)
-            answer = await entry.call('POST', '/stream/1', 'a1')
-        assert (answer.status, answer.body.count(b'\n\n')) == (200, 6)
+            response = await entry.call('POST', '/stream/1', 'a1')
+        assert (response.status, response.body.count(b'\n\n')) == (200, 6)
         assert await entry.wait() == 0
         lines = [json.loads(line) for line in entry.log_text().splitlines()]
         events = [line['event'] for line in lines]
         assert (events[0], events[-1]) == ('entry: started', 'entry: ended')
-        answered = lines[events.index('call: answered')]
-        assert answered['request'] == 'a1'
+        call_line = lines[events.index('call: answered')]
+        assert call_line['request'] == 'a1'
 
-    with_fleet(scenario)
+    run_with_fleet(scenario)
 
 
 @pytest.mark.parametrize('signalled', [True, False])
 def test_changed_settings_are_reloaded(*, signalled: bool) -> None:
     async def scenario(fleet: PlatformFleet, entry: EntryProcess) -> None:
-        # A file's time of change is only as fine as the file system's clock.
+        # Modification times are only as precise as the file system's clock.
         await trio.sleep(0.05)
-        more = 'bounds.retry_budget_slack=5\n'
-        entry.change_settings(fleet.settings(entry) + more)
+        added = 'bounds.retry_budget_slack=5\n'
+        entry.change_settings(fleet.settings(entry) + added)
         if signalled:
             entry.signal(signal.SIGHUP)
         await until(lambda: 'settings reloaded' in entry.log_text())
@@ -74,10 +74,10 @@
         await until(lambda: 'settings not reloaded' in entry.log_text())
         assert (await entry.call('GET', '/read/1', 'a1')).status == 200
 
-    with_fleet(scenario)
+    run_with_fleet(scenario)
 
 
-def test_an_entry_that_was_killed_serves_again() -> None:
+def test_a_killed_entry_serves_again_after_a_restart() -> None:
     async def scenario(fleet: PlatformFleet, entry: EntryProcess) -> None:
         fleet.log.topic('keyed.op').put('config', make_configuration(7))
         entry.signal(signal.SIGKILL)
@@ -87,13 +87,13 @@
         await until(lambda: '"version": 7' in entry.log_text())
         assert (await entry.call('GET', '/read/1', 'a1')).status == 200
 
-    with_fleet(scenario)
+    run_with_fleet(scenario)
 
 
-def test_wrong_settings_end_the_program_with_one_line(tmp_path: Path) -> None:
+def test_invalid_settings_exit_with_a_one_line_error(tmp_path: Path) -> None:
     path = tmp_path / 'settings.conf'
     path.write_text('node_name=entry-1\nip=127.0.0.1\n')
-    ended = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, '-m', 'amaranthrail.platform'],
         env={**os.environ, 'AMARANTHRAIL_CONFIG': str(path)},
         capture_output=True,
@@ -101,12 +101,14 @@
         timeout=60,
         check=False,
     )
-    assert ended.returncode == 2
-    assert ended.stderr.startswith("amaranthrail: setting internal_ports is ''")
-    assert ended.stderr.count('\n') == 1
+    assert completed.returncode == 2
+    assert completed.stderr.startswith(
+        "amaranthrail: setting internal_ports is ''"
+    )
+    assert completed.stderr.count('\n') == 1
 
 
-_HANG_UP_WHILE_STARTING = """
+_SIGHUP_DURING_START = """
 import os, runpy, signal, sys, types
 
 def main():
@@ -119,16 +121,20 @@
 """
 
 
-def test_a_hangup_while_starting_does_not_end_the_program() -> None:
-    """Replays soak seed 7013: settings changed as an entry started again."""
-    found = subprocess.run(
-        [sys.executable, '-c', _HANG_UP_WHILE_STARTING],
+def test_sighup_during_start_does_not_end_the_process() -> None:
+    """Guard against a death at the start, seen with soak seed 7013.
+
+    The settings changed while an entry started again, and the SIGHUP for them
+    came before the program handled it.
+    """
+    completed = subprocess.run(
+        [sys.executable, '-c', _SIGHUP_DURING_START],
         check=False,
     )
-    assert found.returncode == 0
+    assert completed.returncode == 0
 
 
-_IMPORTED = """
+_PRINT_MODULES = """
 import sys
 import amaranthrail.platform.program
 print(' '.join(sys.modules))
@@ -139,13 +145,16 @@
     'library',
     ['prometheus_client', 'http.server', 'pydantic', 'typer'],
 )
-def test_a_start_imports_no_library_that_only_others_need(library: str) -> None:
-    """Replays the loss of all entries: callers meet nobody until one starts."""
-    found = subprocess.run(
-        [sys.executable, '-S', '-c', _IMPORTED],
+def test_the_entry_does_not_import_unused_libraries(library: str) -> None:
+    """Guard against slow starts.
+
+    After a loss of all entries, callers reach none until one has started.
+    """
+    completed = subprocess.run(
+        [sys.executable, '-S', '-c', _PRINT_MODULES],
         env={**os.environ, 'PYTHONPATH': os.pathsep.join(sys.path)},
         capture_output=True,
         text=True,
         check=True,
     )
-    assert library not in found.stdout.split()
+    assert library not in completed.stdout.split()
