--- a/tests/platformbench.py
+++ b/tests/platformbench.py
@@ -92,7 +92,7 @@
         self._attempts = itertools.count(1)
 
     async def until_ready(self) -> None:
-        await until(lambda: self.entry.ready)
+        await wait_until(lambda: self.entry.ready)
 
     async def call(
         self,
@@ -114,7 +114,7 @@
         return await self.client.call(method, path, tuple(fields.items()))
 
 
-async def until(condition: Callable[[], bool], bound_s: float = 8) -> None:
+async def wait_until(condition: Callable[[], bool], bound_s: float = 8) -> None:
     """Wait until a condition is true; raise trio.TooSlowError on timeout."""
     with trio.fail_after(bound_s):
         while not condition():  # noqa: ASYNC110
--- a/tests/test_direct_path.py
+++ b/tests/test_direct_path.py
@@ -14,7 +14,7 @@
 from standins.platformfleet import listen
 from standins.replica import EVENTS, Behaviour
 
-from .platformbench import PlatformBench, run_on_platform, until
+from .platformbench import PlatformBench, run_on_platform, wait_until
 from .platformbuild import configuration, route
 
 PLAIN_READ = route('read', 'idempotent', 'plain')
@@ -37,7 +37,7 @@
         await bench.add_replica('p1')
         entry = await bench.start_entry()
         await entry.until_ready()
-        await until(lambda: bench.log.calls > 4)
+        await wait_until(lambda: bench.log.calls > 4)
         read = await entry.call('/read/1')
         assert (read.status, read.body) == (200, b'p1 did /read/1')
         assert read.header('replica-signature') == 'signed-p1'
@@ -107,7 +107,7 @@
         await bench.add_replica('p2', zone='b')
         entry = await bench.start_entry()
         await entry.until_ready()
-        await until(lambda: bench.log.calls > 4)
+        await wait_until(lambda: bench.log.calls > 4)
         answer = await entry.call('/read/1')
         assert (answer.status, answer.body) == (200, b'p2 did /read/1')
 
@@ -137,7 +137,7 @@
             '/book/1', 'POST', deadline_remaining_ms='200'
         )
         assert answer.status == 504
-        await until(lambda: replica.cancelled == 1)
+        await wait_until(lambda: replica.cancelled == 1)
 
     run_on_platform(scenario)
 
@@ -153,7 +153,7 @@
         good = await bench.add_replica('e2', 'engine', zone='b')
         entry = await bench.start_entry()
         await entry.until_ready()
-        await until(lambda: bench.log.calls > 4)
+        await wait_until(lambda: bench.log.calls > 4)
         answer = await entry.call('/stream/1', 'POST')
         assert answer.body == WHOLE_STREAM
         assert answer.header('replica-signature') == 'signed-e1'
@@ -182,7 +182,7 @@
         await entry.until_ready()
         with trio.move_on_after(0.5):
             await entry.call('/stream/1', 'POST')
-        await until(lambda: replica.cancelled == 1, bound_s=1)
+        await wait_until(lambda: replica.cancelled == 1, bound_s=1)
 
     run_on_platform(scenario)
 
@@ -193,10 +193,10 @@
             await bench.add_replica(name)
         entry = await bench.start_entry()
         await entry.until_ready()
-        await until(lambda: len(entry.entry.world.directory) == 2)
+        await wait_until(lambda: len(entry.entry.world.directory) == 2)
         bench.announce('p1', '127.0.0.1:9', state='draining')
         bench.log.topic('keyed.servers').put('p2', b'')
-        await until(lambda: len(entry.entry.world.directory) == 1)
+        await wait_until(lambda: len(entry.entry.world.directory) == 1)
         answer = await entry.call('/read/1')
         assert answer.status == 503
 
@@ -224,7 +224,7 @@
         await entry.until_ready()
         fresh = route('fresh', 'idempotent', 'plain')
         bench.configure(9, routes=[fresh])
-        await until(lambda: entry.entry.world.version == 9, bound_s=2)
+        await wait_until(lambda: entry.entry.world.version == 9, bound_s=2)
         # An older one that comes late changes nothing.
         bench.configure(4)
         await trio.sleep(0.3)
@@ -243,7 +243,7 @@
         bench.configure(9)
         bench.log.topic('keyed.op').forget_history()
         bench.log.fault = StoreFault.NONE
-        await until(lambda: entry.entry.world.version == 9)
+        await wait_until(lambda: entry.entry.world.version == 9)
 
     run_on_platform(scenario)
 
@@ -282,9 +282,9 @@
                 'platform.address': str(address),
             }
             second = await bench.start_entry(**settings)
-            await until(lambda: second.entry.world.version == 1)
+            await wait_until(lambda: second.entry.world.version == 1)
             bench.configure(9)
-            await until(lambda: second.entry.world.version == 9, bound_s=2)
+            await wait_until(lambda: second.entry.world.version == 9, bound_s=2)
             nursery.cancel_scope.cancel()
 
     run_on_platform(scenario)
@@ -294,7 +294,7 @@
     async def scenario(bench: PlatformBench) -> None:
         bench.log.fault = StoreFault.REFUSING
         entry = await bench.start_entry()
-        await until(lambda: bench.log.calls > 2)
+        await wait_until(lambda: bench.log.calls > 2)
         assert not entry.entry.ready
         assert (await entry.call('/read/1')).status == 503
 
@@ -310,7 +310,7 @@
         async with trio.open_nursery() as nursery:
 
             async def stop() -> None:
-                await until(lambda: bool(replica.ran))
+                await wait_until(lambda: bool(replica.ran))
                 entry.entry.stop()
 
             nursery.start_soon(stop)
@@ -338,11 +338,11 @@
         slow = await bench.add_replica('e1', 'engine')
         slow.pause_s = 0.8
         entry = await bench.start_entry()
-        await until(lambda: len(entry.entry.world.directory) == 2)
+        await wait_until(lambda: len(entry.entry.world.directory) == 2)
         call_long = partial(entry.call, deadline_remaining_ms='8000')
         async with trio.open_nursery() as nursery:
             nursery.start_soon(call_long, '/stream/1', 'POST')
-            await until(lambda: bool(slow.ran))
+            await wait_until(lambda: bool(slow.ran))
             entry.entry.stop()
             await trio.sleep(STREAM_INTAKE_MS / 1000 + 0.1)
             answer = await entry.call('/read/1')
@@ -395,10 +395,10 @@
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask)
-            await until(lambda: bool(silent.ran))
+            await wait_until(lambda: bool(silent.ran))
             sound = await bench.add_replica('e2', 'engine')
             sound.pause_s = 0.05
-            await until(lambda: len(entry.entry.world.directory) == 2)
+            await wait_until(lambda: len(entry.entry.world.directory) == 2)
             while not answers:
                 await call('/stream/2', 'POST')
         answer = answers[0]
--- a/tests/test_lead.py
+++ b/tests/test_lead.py
@@ -6,13 +6,18 @@
 
 from standins.keyedlog import StoreFault
 
-from .platformbench import PlatformBench, RunningEntry, run_on_platform, until
+from .platformbench import (
+    PlatformBench,
+    RunningEntry,
+    run_on_platform,
+    wait_until,
+)
 
 
 async def start_two(bench: PlatformBench) -> tuple[RunningEntry, RunningEntry]:
     """Start two entries that know each other; the first one leads."""
     first = await bench.start_entry(node_name='e1')
-    await until(lambda: first.entry.leading)
+    await wait_until(lambda: first.entry.leading)
     second = await bench.start_entry(
         node_name='e2',
         seed_nodes=f'{first.address.host}:8229',
@@ -38,7 +43,7 @@
         await trio.sleep(2)
         bench.log.fault = StoreFault.REFUSING
         first.entry.stop()
-        await until(lambda: second.entry.leading)
+        await wait_until(lambda: second.entry.leading)
         assert not first.entry.leading
 
     run_on_platform(scenario)
@@ -63,7 +68,7 @@
         first, second = await start_two(bench)
         await second.until_ready()
         bench.log.fault = StoreFault.REFUSING
-        await until(lambda: first.entry.store_lost)
+        await wait_until(lambda: first.entry.store_lost)
         first.entry.stop()
         second.entry.stop()
         # Both have nothing left to do, and nobody else knows anything.
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -20,7 +20,7 @@
     platform_fleet,
 )
 
-from .platformbench import until
+from .platformbench import wait_until
 
 
 def run_with_fleet(
@@ -44,7 +44,7 @@
         async with trio.open_nursery() as nursery:
 
             async def stop() -> None:
-                await until(lambda: bool(fleet.replicas['e1'].ran))
+                await wait_until(lambda: bool(fleet.replicas['e1'].ran))
                 entry.signal(signal.SIGTERM)
 
             nursery.start_soon(stop)
@@ -69,9 +69,9 @@
         entry.change_settings(fleet.settings(entry) + added)
         if signalled:
             entry.signal(signal.SIGHUP)
-        await until(lambda: 'settings reloaded' in entry.log_text())
+        await wait_until(lambda: 'settings reloaded' in entry.log_text())
         entry.change_settings('node_name=')
-        await until(lambda: 'settings not reloaded' in entry.log_text())
+        await wait_until(lambda: 'settings not reloaded' in entry.log_text())
         assert (await entry.call('GET', '/read/1', 'a1')).status == 200
 
     run_with_fleet(scenario)
@@ -84,7 +84,7 @@
         await entry.wait()
         entry.start(fleet.settings(entry))
         await entry.until_ready()
-        await until(lambda: '"version": 7' in entry.log_text())
+        await wait_until(lambda: '"version": 7' in entry.log_text())
         assert (await entry.call('GET', '/read/1', 'a1')).status == 200
 
     run_with_fleet(scenario)
