--- a/tests/platformbench.py
+++ b/tests/platformbench.py
@@ -114,9 +114,11 @@
         return await self.client.call(method, path, tuple(fields.items()))
 
 
-async def wait_until(condition: Callable[[], bool], bound_s: float = 8) -> None:
+async def wait_until(
+    condition: Callable[[], bool], timeout_s: float = 8
+) -> None:
     """Wait until a condition is true; raise trio.TooSlowError on timeout."""
-    with trio.fail_after(bound_s):
+    with trio.fail_after(timeout_s):
         while not condition():  # noqa: ASYNC110
             await trio.sleep(0.01)
 
--- a/tests/test_direct_path.py
+++ b/tests/test_direct_path.py
@@ -182,7 +182,7 @@
         await entry.until_ready()
         with trio.move_on_after(0.5):
             await entry.call('/stream/1', 'POST')
-        await wait_until(lambda: replica.cancelled == 1, bound_s=1)
+        await wait_until(lambda: replica.cancelled == 1, timeout_s=1)
 
     run_on_platform(scenario)
 
@@ -224,7 +224,7 @@
         await entry.until_ready()
         fresh = route('fresh', 'idempotent', 'plain')
         bench.configure(9, routes=[fresh])
-        await wait_until(lambda: entry.entry.world.version == 9, bound_s=2)
+        await wait_until(lambda: entry.entry.world.version == 9, timeout_s=2)
         # An older one that comes late changes nothing.
         bench.configure(4)
         await trio.sleep(0.3)
@@ -284,7 +284,9 @@
             second = await bench.start_entry(**settings)
             await wait_until(lambda: second.entry.world.version == 1)
             bench.configure(9)
-            await wait_until(lambda: second.entry.world.version == 9, bound_s=2)
+            await wait_until(
+                lambda: second.entry.world.version == 9, timeout_s=2
+            )
             nursery.cancel_scope.cancel()
 
     run_on_platform(scenario)
