--- a/src/amaranthrail/platform/ranks.py
+++ b/src/amaranthrail/platform/ranks.py
@@ -53,6 +53,7 @@
     map: int = 0
     # The version whose expert weights are all copied.
     prepared: int | None = None
+    # The version that comes into use next, and the first step with it.
     armed: _WireArmed | None = None
     # The step that all ranks wait before until it is released.
     held: int | None = None
--- a/src/amaranthrail/ranks/change.py
+++ b/src/amaranthrail/ranks/change.py
@@ -28,7 +28,7 @@
 HOLD_AHEAD_MS = (300.0, 600.0)
 #: The same while orders get no response, in ms: three retries fit in.
 SLOW_HOLD_AHEAD_MS = 1000.0
-#: Time for which an unanswered order counts as recent, in ms.
+#: Time after an unanswered order for which SLOW_HOLD_AHEAD_MS applies, in ms.
 UNANSWERED_WINDOW_MS = 10_000.0
 #: Fewest and most steps between a report and the step that is held.
 MIN_STEPS_AHEAD = 3
@@ -41,7 +41,7 @@
 CONFIRM_MS = 1100.0
 #: Time by which copying may exceed what the experts' sizes predict, in ms.
 COPY_SLACK_MS = 30.0
-#: Time for which the arm order is retried at ranks that need longer and
+#: Time for which an arm order is retried at ranks that need longer to copy and
 #: therefore refuse it, in ms.
 REFUSED_ARM_MS = 400.0
 #: Time before a refused order is retried, in ms.
@@ -235,7 +235,7 @@
         been refused for ``refused_ms``.
         """
         retry_refused_until = self._clock.now() + refused_ms
-        confirmed: dict[int, bool] = {}
+        acceptance: dict[int, bool] = {}
         with trio.move_on_after(timeout_ms / MS_PER_SECOND):
             async with trio.open_nursery() as nursery:
                 for rank, order in orders.items():
@@ -243,10 +243,10 @@
                         self._confirm,
                         rank,
                         order,
-                        confirmed,
+                        acceptance,
                         retry_refused_until,
                     )
-        failed = sorted(set(orders) - _accepted_ranks(confirmed))
+        failed = sorted(set(orders) - _accepted_ranks(acceptance))
         if failed:
             kind = next(iter(orders.values())).kind.value
             _log.warning('order not confirmed', order=kind, ranks=failed)
@@ -256,10 +256,10 @@
         self,
         rank: int,
         order: MapOrder,
-        confirmed: dict[int, bool],
+        acceptance: dict[int, bool],
         retry_refused_until: float,
     ) -> None:
-        while rank not in confirmed:
+        while rank not in acceptance:
             order_result = await self._send_order(rank, order)
             if order_result is OrderResult.UNANSWERED:
                 self._unanswered_at = self._clock.now()
@@ -268,7 +268,7 @@
                 order_result.accepted
                 or self._clock.now() >= retry_refused_until
             ):
-                confirmed[rank] = order_result.accepted
+                acceptance[rank] = order_result.accepted
             else:
                 await sleep(REFUSED_RETRY_MS)
 
@@ -313,5 +313,5 @@
     return max(report.version, report.prepared_version) > request.version
 
 
-def _accepted_ranks(confirmed: Mapping[int, bool]) -> set[int]:
-    return {rank for rank, accepted in confirmed.items() if accepted}
+def _accepted_ranks(acceptance: Mapping[int, bool]) -> set[int]:
+    return {rank for rank, accepted in acceptance.items() if accepted}
--- a/src/amaranthrail/ranks/leader.py
+++ b/src/amaranthrail/ranks/leader.py
@@ -285,14 +285,14 @@
         saving = 1 - skew_after / skew_before
         if not pays(saving, self._group.step_ms, self._target_gap_ms):
             return
-        copies = _copies_by_rank(placement, planned)
+        new_experts = _new_experts_by_rank(placement, planned)
         request = ChangeRequest(
             report.epoch,
             self._next_version(report),
             planned,
             placement,
             self._group.step_ms,
-            max(copies) * self._layout.copy_ms,
+            max(new_experts) * self._layout.copy_ms,
         )
         # A change that is rolled back uses the next version as well.
         group.highest_version = request.version + 1
@@ -305,7 +305,7 @@
             version=request.version,
             skew_before=round(skew_before, 2),
             skew_after=round(skew_after, 2),
-            copies=sum(copies),
+            copies=sum(new_experts),
             pass_ms=int(request.step_ms),
         )
         if outcome is ChangeOutcome.DONE:
@@ -315,17 +315,17 @@
     async def _plan(self, placement: Placement) -> Placement:
         limits = PlanLimits(self._layout.placements, self._layout.spare)
         planned = []
-        for index, held in enumerate(placement):
+        for index, current in enumerate(placement):
             weights = self._demand.of_set(index)
-            planned.append(plan_set(held, weights, limits, self._random))
+            planned.append(plan_set(current, weights, limits, self._random))
             # Let other tasks serve callers between the sets of a large group.
             await trio.lowlevel.checkpoint()
         return tuple(planned)
 
     def _mean_skew(self, placement: Placement) -> float:
         skews = [
-            set_skew(held, self._demand.of_set(index))
-            for index, held in enumerate(placement)
+            set_skew(set_placement, self._demand.of_set(index))
+            for index, set_placement in enumerate(placement)
         ]
         return sum(skews) / len(skews)
 
@@ -382,7 +382,7 @@
     return version > 0 and armed_step == step
 
 
-def _copies_by_rank(before: Placement, after: Placement) -> list[int]:
+def _new_experts_by_rank(before: Placement, after: Placement) -> list[int]:
     """Return how many experts each rank must copy, over all layer sets."""
     by_set = [
         [
@@ -391,4 +391,4 @@
         ]
         for new_set, old_set in zip(after, before, strict=True)
     ]
-    return [sum(copies) for copies in zip(*by_set, strict=True)]
+    return [sum(counts) for counts in zip(*by_set, strict=True)]
--- a/tests/platformbench.py
+++ b/tests/platformbench.py
@@ -22,10 +22,11 @@
 
 from .platformbuild import SETTINGS, configuration, upstream_record
 
-_started_at = itertools.count(1000)
-_hosts = itertools.count()
-_HOSTS = 250
-_HOST_GROUPS = _HOSTS * _HOSTS
+_start_times = itertools.count(1000)
+_host_numbers = itertools.count()
+#: Values used of each octet, of 256.
+_OCTETS = 250
+_OCTET_PAIRS = _OCTETS * _OCTETS
 
 
 class PlatformBench:
@@ -58,7 +59,7 @@
         return replica
 
     def announce(self, name: str, address: str, **changes: Any) -> None:
-        fields = {'born': next(_started_at), **changes}
+        fields = {'born': next(_start_times), **changes}
         record = upstream_record(address, **fields)
         self.log.topic('keyed.servers').put(name, record)
 
@@ -152,5 +153,5 @@
 
     All entries of a deployment have the same ports and differ by host.
     """
-    upper, lower = divmod(os.getpid() % _HOST_GROUPS, _HOSTS)
-    return f'127.{upper + 1}.{lower}.{next(_hosts) % _HOSTS + 1}'
+    upper, lower = divmod(os.getpid() % _OCTET_PAIRS, _OCTETS)
+    return f'127.{upper + 1}.{lower}.{next(_host_numbers) % _OCTETS + 1}'
