--- a/src/amaranthrail/direct/attempt.py
+++ b/src/amaranthrail/direct/attempt.py
@@ -1,4 +1,4 @@
-"""Send a call to one upstream once and take its answer."""
+"""Send a call to one upstream once and read its response."""
 
 from __future__ import annotations
 
@@ -14,31 +14,34 @@
 from .upstreams import Directory, Upstream
 
 _FIRST_SERVER_ERROR = 500
-_FIRST_FAILURE = 300
+_FIRST_NON_SUCCESS = 300
 
 
-class Attempts:
-    """Make attempts for one entry."""
+class AttemptSender:
+    """Send single attempts and record their results in upstream health."""
 
     def __init__(
         self,
         clock: Clock,
-        dialect: WireFormat,
+        wire_format: WireFormat,
         directory: Directory,
     ) -> None:
-        """Take the platform's formats and the upstreams."""
+        """Use a directory from which replaced upstreams are removed."""
         self._clock = clock
-        self._dialect = dialect
+        self._wire_format = wire_format
         self._directory = directory
 
-    async def make(
+    async def send(
         self,
         call: Call,
         upstream: Upstream,
         relay: StreamRelay,
     ) -> BufferedResponse | Failure | None:
-        """Return the answer, why there is none, or None once relayed."""
-        headers = self._dialect.request_headers(
+        """Return a whole response or a failure.
+
+        Return None once a stream has been relayed to its end.
+        """
+        headers = self._wire_format.request_headers(
             call.request,
             ForwardingFields(
                 upstream.record.name,
@@ -48,76 +51,108 @@
                 call.priority,
             ),
         )
-        upstream.count(1)
+        upstream.adjust_in_flight(1)
         try:
             async with upstream.client.exchange(
                 call.request.method,
                 call.request.target,
                 headers,
                 call.request.body,
-                # A kept connection may have been closed by the other end, and
-                # then nobody can tell whether the request was read.
+                # The upstream may already have closed a pooled connection; it
+                # is then unknown whether it read the request.
                 fresh=not call.route.retryable,
-                patience=relay.patience(),
+                patience=relay.make_stall_guard(),
             ) as exchange:
-                return await self._take(call, upstream, relay, exchange)
+                return await self._read_response(
+                    call, upstream, relay, exchange
+                )
         except HttpError as error:
             if not error.pooled or not error.sent:
                 upstream.health.note_unreachable(self._clock.now())
-            return Failure(str(error), ran=error.sent, arrived=error.sent)
+            return Failure(
+                str(error),
+                may_have_run=error.sent,
+                delivered=error.sent,
+            )
         finally:
-            upstream.count(-1)
+            upstream.adjust_in_flight(-1)
 
-    async def _take(
+    async def _read_response(
         self,
         call: Call,
         upstream: Upstream,
         relay: StreamRelay,
         exchange: HttpExchange,
     ) -> BufferedResponse | Failure | None:
-        facts = self._dialect.read_response(exchange.status, exchange.headers)
-        if facts.replaced:
+        metadata = self._wire_format.read_response(
+            exchange.status,
+            exchange.headers,
+        )
+        if metadata.replaced:
             self._directory.remove(upstream.record.name, 'replaced')
             return Failure(
                 'upstream was replaced',
-                ran=False,
-                arrived=True,
+                may_have_run=False,
+                delivered=True,
                 misdirected=True,
             )
-        fault = _fault(call, facts, exchange.status)
-        if fault is not None:
-            return fault
-        if facts.load is not None:
-            upstream.note_load(facts.load)
-        headers = self._dialect.response_headers(exchange.headers)
-        if call.route.streaming and exchange.status < _FIRST_FAILURE:
-            failure = await relay.take(
+        invalid = _check_head(call, metadata, exchange.status)
+        if invalid is not None:
+            return invalid
+        if metadata.load is not None:
+            upstream.record_load(metadata.load)
+        headers = self._wire_format.response_headers(exchange.headers)
+        if call.route.streaming and exchange.status < _FIRST_NON_SUCCESS:
+            failure = await relay.relay_response(
                 exchange,
                 headers,
-                upstream.note_heard,
+                upstream.record_activity,
             )
-            self._note(upstream, failed=failure is not None)
+            self._record_result(upstream, failed=failure is not None)
             return failure
         async with aclosing(exchange.parts()) as parts:
             chunks = [part async for part in parts]
-        self._note(upstream, failed=exchange.status >= _FIRST_SERVER_ERROR)
+        self._record_result(
+            upstream,
+            failed=exchange.status >= _FIRST_SERVER_ERROR,
+        )
         return BufferedResponse(exchange.status, headers, b''.join(chunks))
 
-    def _note(self, upstream: Upstream, *, failed: bool) -> None:
+    def _record_result(self, upstream: Upstream, *, failed: bool) -> None:
         if failed:
             upstream.health.note_failure(self._clock.now())
         else:
             upstream.health.note_success()
 
 
-def _fault(call: Call, facts: ResponseMetadata, status: int) -> Failure | None:
-    """Return why an answer's head is not the answer to a call."""
-    if facts.not_executed:
-        return Failure(f'refused with {status}', ran=False, arrived=True)
-    if facts.attempt_id != call.facts.attempt_id:
-        return Failure('answer to another request', ran=True, arrived=True)
-    if facts.encoded:
-        return Failure('body is encoded', ran=True, arrived=True)
-    if status < _FIRST_FAILURE and not facts.signed:
-        return Failure('success is not signed', ran=True, arrived=True)
+def _check_head(
+    call: Call,
+    metadata: ResponseMetadata,
+    status: int,
+) -> Failure | None:
+    """Return why a response head cannot be passed to the caller, if so."""
+    if metadata.not_executed:
+        return Failure(
+            f'refused with {status}',
+            may_have_run=False,
+            delivered=True,
+        )
+    if metadata.attempt_id != call.metadata.attempt_id:
+        return Failure(
+            'response belongs to another request',
+            may_have_run=True,
+            delivered=True,
+        )
+    if metadata.encoded:
+        return Failure(
+            'response body is encoded',
+            may_have_run=True,
+            delivered=True,
+        )
+    if status < _FIRST_NON_SUCCESS and not metadata.signed:
+        return Failure(
+            'successful response is not signed',
+            may_have_run=True,
+            delivered=True,
+        )
     return None
--- a/src/amaranthrail/direct/call.py
+++ b/src/amaranthrail/direct/call.py
@@ -1,4 +1,4 @@
-"""Hold one caller's request while it is served."""
+"""Define the state of a caller's request while it is served."""
 
 from __future__ import annotations
 
@@ -14,28 +14,35 @@
 
 
 class UpstreamChoice(msgspec.Struct, frozen=True):
-    """Hold why an upstream was chosen: its calls when it was.
+    """Keep the load and health on which the choice of an upstream rested.
 
-    ``others`` is the estimate of other entries' calls.
+    ``sequence`` is that of the upstream's record. ``own_calls`` are this
+    entry's calls in flight there, ``other_calls`` the estimate of those of
+    other entries; ``ejected`` says that outlier detection had ejected it.
     """
 
     upstream: str
     sequence: int
-    own: int
-    others: float
-    avoided: bool
+    own_calls: int
+    other_calls: float
+    ejected: bool
 
 
 class Call(msgspec.Struct):
-    """Hold a routed request and how far it has come.
-
-    ``deadline`` is the time of the clock by which the answer must be out;
-    ``sent`` counts the upstreams that have seen the request, and
-    ``may_have_run`` says whether one of them may have run it.
+    """Hold a routed request and the progress of its attempts.
+
+    ``deadline`` is the clock time in ms by which the response must have been
+    sent, ``version`` that of the configuration that routed the request.
+    ``delivered_attempts`` counts the upstreams that received the request,
+    ``undelivered_attempts`` those that could not be reached or were not the
+    upstream addressed. ``may_have_run`` says whether any upstream may have
+    executed the request, ``engine_load`` is what the admission of a stream was
+    based on, and ``retry_reserved`` says that the next retry has already been
+    taken from the retry budget.
     """
 
     request: HttpRequest
-    facts: RequestMetadata
+    metadata: RequestMetadata
     route: Route
     service: ServiceName
     organisation: OrganisationName | None
@@ -43,21 +50,21 @@
     arrived_at: Millis
     deadline: Millis
     version: int
-    sent: int = 0
-    unreached: int = 0
+    delivered_attempts: int = 0
+    undelivered_attempts: int = 0
     may_have_run: bool = False
     choices: list[UpstreamChoice] = msgspec.field(default_factory=list)
-    crest: Crest | None = None
-    repeat_counted: bool = False
+    engine_load: Crest | None = None
+    retry_reserved: bool = False
 
     @property
-    def tried(self) -> frozenset[str]:
-        """Return the names of the upstreams that were chosen."""
+    def tried_upstreams(self) -> frozenset[str]:
+        """Return the names of all upstreams chosen so far."""
         return frozenset(choice.upstream for choice in self.choices)
 
 
 class BufferedResponse(msgspec.Struct, frozen=True):
-    """Hold an upstream's complete answer."""
+    """Hold a response that was read to its end before it is passed on."""
 
     status: int
     headers: HeaderList
@@ -65,36 +72,40 @@
 
 
 class Failure(msgspec.Struct, frozen=True):
-    """Say why an attempt gave no answer, and whether it may have run.
+    """Describe an attempt that gave no response for the caller.
 
-    ``arrived`` tells whether an upstream has seen the request, ``misdirected``
-    whether it was another than the one meant.
+    ``may_have_run`` says whether the request may have been executed,
+    ``delivered`` whether an upstream received it, and ``misdirected`` whether
+    that was another upstream than the one addressed.
     """
 
     cause: str
-    ran: bool
-    arrived: bool
+    may_have_run: bool
+    delivered: bool
     misdirected: bool = False
 
 
 @dataclass(slots=True)
 class StreamTiming:
-    """Hold when the events of a caller's stream came, in ms.
+    """Measure when the events of a caller's stream arrive, in ms.
 
-    ``first_ms`` counts from the call's arrival, ``longest_gap_ms`` is the
-    longest pause between two; 0 until there is one.
+    ``first_event_ms`` counts from the call's arrival, ``longest_gap_ms`` is the
+    longest gap between two reads that held events; each is 0 until it is known.
     """
 
     arrived_at: Millis
-    first_ms: float = 0
+    first_event_ms: float = 0
     longest_gap_ms: float = 0
     _last_at: Millis | None = None
 
-    def note(self, now: Millis) -> float | None:
-        """Note that events have come; return the pause since those before."""
+    def record_events(self, now: Millis) -> float | None:
+        """Record an arrival of events; return the gap since the last one.
+
+        The gap is in ms, None for the first arrival.
+        """
         gap_ms: float | None = None
         if self._last_at is None:
-            self.first_ms = now - self.arrived_at
+            self.first_event_ms = now - self.arrived_at
         else:
             gap_ms = now - self._last_at
             self.longest_gap_ms = max(self.longest_gap_ms, gap_ms)
--- a/src/amaranthrail/direct/callers.py
+++ b/src/amaranthrail/direct/callers.py
@@ -1,4 +1,4 @@
-"""Take callers' requests: identify, route, hand on."""
+"""Authenticate and route callers' requests before they are forwarded."""
 
 from __future__ import annotations
 
@@ -18,51 +18,51 @@
 from .ports import RequestMetadata, WireFormat
 from .shutdown import GracefulShutdown
 
-#: Priorities that an upstream tells apart, 0 to this one.
+#: Highest priority that upstreams distinguish; the lowest is 0.
 _MAX_PRIORITY = 9
 
 
-class Callers:
-    """Serve the callers' port of one entry."""
+class CallerHandler:
+    """Handle the requests on the caller port of one entry."""
 
     def __init__(
         self,
-        world: ClusterState,
-        dialect: WireFormat,
+        cluster: ClusterState,
+        wire_format: WireFormat,
         forwarder: Forwarder,
-        journal: CallLog,
-        departure: GracefulShutdown,
+        call_log: CallLog,
+        shutdown: GracefulShutdown,
     ) -> None:
-        """Take the parts that a request meets."""
-        self._world = world
-        self._departure = departure
-        self._dialect = dialect
+        """Route by the configuration that ``cluster`` has in force."""
+        self._cluster = cluster
+        self._shutdown = shutdown
+        self._wire_format = wire_format
         self._forwarder = forwarder
-        self._journal = journal
+        self._call_log = call_log
         self._clock = Clock()
         self._random = random.Random()
 
     async def handle(self, request: HttpRequest, reply: Reply) -> None:
-        """Answer one request."""
-        facts = self._dialect.read_request(request)
-        call = self._identify(request, facts)
+        """Forward a request, or refuse one that cannot be routed."""
+        metadata = self._wire_format.read_request(request)
+        call = self._accept(request, metadata)
         if isinstance(call, Refusal):
-            self._journal.rejected(
-                facts.attempt_id,
+            self._call_log.record_rejection(
+                metadata.attempt_id,
                 call.reason.value,
-                self._world.version,
+                self._cluster.version,
             )
-            headers = self._dialect.refusal_headers(call)
+            headers = self._wire_format.refusal_headers(call)
             await send_refusal(reply, call, headers)
             return
-        await self._forwarder.answer(call, reply)
+        await self._forwarder.forward(call, reply)
 
-    def _identify(
+    def _accept(
         self,
         request: HttpRequest,
-        facts: RequestMetadata,
+        metadata: RequestMetadata,
     ) -> Call | Refusal:
-        deployment = self._world.deployment
+        deployment = self._cluster.deployment
         if deployment is None:
             return not_run(
                 Reason.NO_MANIFEST,
@@ -76,28 +76,30 @@
                 Reason.NO_ROUTE,
                 f'no route for host {host!r} and path {request.path!r}',
             )
-        organisation = _organisation(deployment, route, facts.credential)
+        organisation = _authenticate(deployment, route, metadata.credential)
         if isinstance(organisation, Refusal):
             return organisation
-        call = self._call(deployment, request, facts, route, organisation)
-        if not self._departure.takes(call):
-            # Other entries take it at once.
-            return not_run(Reason.DRAINING, 'this entry leaves', 0)
+        call = self._make_call(
+            deployment, request, metadata, route, organisation
+        )
+        if not self._shutdown.accepts(call):
+            # Other entries accept the call without delay.
+            return not_run(Reason.DRAINING, 'this entry is shutting down', 0)
         return call
 
-    def _call(
+    def _make_call(
         self,
         deployment: Deployment,
         request: HttpRequest,
-        facts: RequestMetadata,
+        metadata: RequestMetadata,
         route: Route,
         organisation: Organisation | None,
     ) -> Call:
         now = self._clock.now()
-        timeout_ms = facts.timeout_ms
-        left_ms = route.timeout_ms
-        if timeout_ms is not None:
-            left_ms = min(left_ms, timeout_ms)
+        caller_timeout_ms = metadata.timeout_ms
+        timeout_ms = route.timeout_ms
+        if caller_timeout_ms is not None:
+            timeout_ms = min(timeout_ms, caller_timeout_ms)
         name: OrganisationName | None = None
         priority = route.priority
         if organisation is not None:
@@ -106,17 +108,18 @@
                 priority = organisation.priority
         return Call(
             request=request,
-            facts=facts,
+            metadata=metadata,
             route=route,
             service=self._choose_service(route),
             organisation=name,
             priority=min(_MAX_PRIORITY, max(0, priority)),
             arrived_at=now,
-            deadline=Millis(now + left_ms),
+            deadline=Millis(now + timeout_ms),
             version=deployment.version,
         )
 
     def _choose_service(self, route: Route) -> ServiceName:
+        """Draw a service of a route at random by weight."""
         if len(route.shares) == 1:
             return route.shares[0].service
         weights = [share.weight for share in route.shares]
@@ -124,15 +127,15 @@
         return chosen[0].service
 
 
-def _organisation(
+def _authenticate(
     deployment: Deployment,
     route: Route,
     credential: str | None,
 ) -> Organisation | Refusal | None:
-    """Return whom a credential names; None for an anonymous caller."""
+    """Return the organisation of a credential; None for an anonymous caller."""
     if deployment.credentials is None:
         return None
-    known = deployment.credentials.get(credential or '')
-    if known is None and not route.anonymous:
+    organisation = deployment.credentials.get(credential or '')
+    if organisation is None and not route.anonymous:
         return not_run(Reason.BAD_CREDENTIAL, 'give a key that is in force')
-    return known
+    return organisation
--- a/src/amaranthrail/direct/calllog.py
+++ b/src/amaranthrail/direct/calllog.py
@@ -1,4 +1,4 @@
-"""Write the decisions on calls to the log and count them."""
+"""Log the outcome of calls, at a bounded rate, and count it in metrics."""
 
 from __future__ import annotations
 
@@ -11,85 +11,89 @@
 from .call import BufferedResponse, Call, Failure, StreamTiming
 from .deployment import UpstreamRecord
 
-#: Served calls below this rate are all logged; above it, one in so many.
+#: Answered calls a second that are all logged; above this rate, only one in
+#: ``SAMPLED_ONE_IN`` is.
 FULL_LOG_PER_SECOND = 40
 SAMPLED_ONE_IN = 16
-#: Lines on refusals, failures and repeats in one second; more are counted.
-MAX_TROUBLE_PER_SECOND = 200
+#: Log lines on refusals, failures and retries a second; further lines are only
+#: counted.
+MAX_PROBLEMS_PER_SECOND = 200
 _SECOND_MS = 1000.0
 _HTTP_OK = 200
 _log = part_logger('call')
 
 
-class _RateWindow:
+class _RateCounter:
+    """Count events in windows of one second."""
+
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._began_at = clock.now()
+        self._window_start = clock.now()
         self._count = 0
 
-    def note(self) -> int:
-        """Count one more and return how many there are in this second."""
+    def increment(self) -> int:
+        """Count an event; return the count in the current second."""
         now = self._clock.now()
-        if now - self._began_at >= _SECOND_MS:
-            self._began_at = now
+        if now - self._window_start >= _SECOND_MS:
+            self._window_start = now
             self._count = 0
         self._count += 1
         return self._count
 
 
 class CallLog:
-    """Explain what became of each call."""
+    """Write one log line per outcome, sampled at high rates, and count all."""
 
     def __init__(self, clock: Clock, metrics: Metrics) -> None:
-        """Take where durations come from and where counts go."""
+        """Count in ``metrics``, which never drops an outcome."""
         self._clock = clock
         self._metrics = metrics
-        self._served = _RateWindow(clock)
-        self._trouble = _RateWindow(clock)
+        self._answered = _RateCounter(clock)
+        self._problems = _RateCounter(clock)
 
-    def ended(
+    def record_end(
         self,
         call: Call,
         outcome: BufferedResponse | Refusal | None,
         events: int,
-        pace: StreamTiming,
+        timing: StreamTiming,
     ) -> None:
-        """Note the end of a call."""
+        """Record a call's result; None stands for a complete stream."""
         took_ms = self._clock.now() - call.arrived_at
         self._metrics.latency('call').record(took_ms)
         if events:
-            self._metrics.latency('first_event').record(pace.first_ms)
-            self._metrics.latency('longest_gap').record(pace.longest_gap_ms)
+            self._metrics.latency('first_event').record(timing.first_event_ms)
+            self._metrics.latency('longest_gap').record(timing.longest_gap_ms)
         if isinstance(outcome, Refusal):
             self._metrics.count(
                 'refused',
                 reason=outcome.reason.value,
                 outcome=outcome.outcome.value,
             )
-            self._refused(call, outcome, events)
+            self._log_refusal(call, outcome, events)
             return
         status = _HTTP_OK if outcome is None else outcome.status
         self._metrics.count('answered', status=str(status))
-        if self._is_sampled(call.facts.attempt_id):
+        if self._is_sampled(call.metadata.attempt_id):
             _log.info(
                 'answered',
-                **_identity(call),
+                **_call_fields(call),
                 status=status,
                 events=events,
-                first_event_ms=int(pace.first_ms),
-                longest_gap_ms=int(pace.longest_gap_ms),
+                first_event_ms=int(timing.first_event_ms),
+                longest_gap_ms=int(timing.longest_gap_ms),
                 took_ms=int(took_ms),
             )
 
-    def repeated(
+    def record_retry(
         self,
         call: Call,
         upstream: UpstreamRecord,
         attempt: BufferedResponse | Failure,
     ) -> None:
-        """Note that a call is sent once more."""
+        """Record a retry and the failed attempt that causes it."""
         self._metrics.count('repeats')
-        if not self._may_log_trouble():
+        if not self._may_log_problem():
             return
         if isinstance(attempt, BufferedResponse):
             cause = f'status {attempt.status}'
@@ -97,16 +101,21 @@
             cause = attempt.cause
         _log.warning(
             'sent again',
-            **_identity(call),
+            **_call_fields(call),
             upstream=upstream.name,
             upstream_beat=upstream.sequence,
             cause=cause,
         )
 
-    def rejected(self, request: str, reason: str, version: int) -> None:
-        """Note a request that no route or credential allows."""
+    def record_rejection(
+        self,
+        request: str,
+        reason: str,
+        version: int,
+    ) -> None:
+        """Record a request that was refused before it could be forwarded."""
         self._metrics.count('rejected', reason=reason)
-        if self._may_log_trouble():
+        if self._may_log_problem():
             _log.warning(
                 'rejected',
                 request=request,
@@ -114,58 +123,62 @@
                 version=version,
             )
 
-    def left(self, call: Call, events: int) -> None:
-        """Note that a caller has gone before its answer was complete."""
+    def record_disconnect(self, call: Call, events: int) -> None:
+        """Record a caller that disconnected before the end of its response."""
         self._metrics.count('callers_left')
-        if self._may_log_trouble():
-            _log.info('caller left', **_identity(call), events=events)
+        if self._may_log_problem():
+            _log.info(
+                'caller disconnected', **_call_fields(call), events=events
+            )
 
-    def _refused(self, call: Call, refusal: Refusal, events: int) -> None:
-        if not self._may_log_trouble():
+    def _log_refusal(self, call: Call, refusal: Refusal, events: int) -> None:
+        if not self._may_log_problem():
             return
         _log.warning(
-            'stream cut' if events else 'refused',
-            **_identity(call),
+            'stream aborted' if events else 'refused',
+            **_call_fields(call),
             outcome=refusal.outcome.value,
             reason=refusal.reason.value,
             cause=refusal.detail,
             return_after_ms=refusal.retry_after_ms,
-            crest=_crest(call),
+            crest=_describe_engine_load(call),
             events=events,
             took_ms=int(self._clock.now() - call.arrived_at),
         )
 
     def _is_sampled(self, request: str) -> bool:
-        if self._served.note() <= FULL_LOG_PER_SECOND:
+        if self._answered.increment() <= FULL_LOG_PER_SECOND:
             return True
         return xxhash.xxh32_intdigest(request.encode()) % SAMPLED_ONE_IN == 0
 
-    def _may_log_trouble(self) -> bool:
-        if self._trouble.note() <= MAX_TROUBLE_PER_SECOND:
+    def _may_log_problem(self) -> bool:
+        if self._problems.increment() <= MAX_PROBLEMS_PER_SECOND:
             return True
         self._metrics.count('log_lines_left_out')
         return False
 
 
-def _crest(call: Call) -> str | None:
-    """Return how engines stood when a stream was asked for."""
-    crest = call.crest
-    if crest is None:
+def _describe_engine_load(call: Call) -> str | None:
+    """Return the engine load when a stream was admitted or refused, if any."""
+    load = call.engine_load
+    if load is None:
         return None
-    pass_text = 'unknown' if crest.pass_ms is None else f'{crest.pass_ms:.0f}'
-    return f'least load {crest.least_load:.2f}, pass ms {pass_text}'
+    step_text = 'unknown' if load.pass_ms is None else f'{load.pass_ms:.0f}'
+    return f'least load {load.least_load:.2f}, pass ms {step_text}'
 
 
-def _identity(call: Call) -> dict[str, object]:
+def _call_fields(call: Call) -> dict[str, object]:
+    """Return the log fields that identify a call and its upstream choices."""
     return {
-        'request': call.facts.attempt_id,
+        'request': call.metadata.attempt_id,
         'route': call.route.name,
         'version': call.version,
         'service': call.service,
         'chosen': [
-            f'{one.upstream} beat {one.sequence}: own {one.own}, '
-            f'others {one.others:g}{" avoided" if one.avoided else ""}'
-            for one in call.choices
+            f'{choice.upstream} beat {choice.sequence}: '
+            f'own {choice.own_calls}, others {choice.other_calls:g}'
+            f'{" avoided" if choice.ejected else ""}'
+            for choice in call.choices
         ],
-        'sent': call.sent,
+        'sent': call.delivered_attempts,
     }
--- a/src/amaranthrail/direct/clusterstate.py
+++ b/src/amaranthrail/direct/clusterstate.py
@@ -1,4 +1,4 @@
-"""Hold what an entry believes of configuration, upstreams and entries."""
+"""Hold this entry's view of the configuration and the upstreams."""
 
 from __future__ import annotations
 
@@ -15,25 +15,28 @@
 
 
 class NewerVersion(msgspec.Struct, frozen=True):
-    """Say since when another entry is known to have a later configuration."""
+    """Name an entry that reported a later configuration than this one's.
+
+    ``first_seen_at`` is the clock time in ms of its first report.
+    """
 
     version: int
     host: str
-    noted_at: float
+    first_seen_at: float
 
 
 class ClusterState:
-    """Take in news from the store or from other entries, whichever is first.
+    """Apply updates from the store and from other entries in any order.
 
-    The highest version of the configuration wins and never goes back.
+    The highest version of the configuration wins and is never rolled back.
     """
 
-    def __init__(self, clock: Clock, dialect: WireFormat) -> None:
-        """Start without knowing anything."""
-        self._dialect = dialect
+    def __init__(self, clock: Clock, wire_format: WireFormat) -> None:
+        """Start without a configuration and without upstreams."""
+        self._wire_format = wire_format
         self._deployment: Deployment | None = None
         self._clock = clock
-        self._newer: NewerVersion | None = None
+        self._newer_version: NewerVersion | None = None
         self._directory = Directory(clock)
 
     @property
@@ -43,74 +46,85 @@
 
     @property
     def version(self) -> int:
-        """Return the version in force, 0 for none."""
+        """Return the version in force, 0 before the first."""
         return 0 if self._deployment is None else self._deployment.version
 
     @property
-    def newer(self) -> NewerVersion | None:
-        """Return who has a later configuration than this entry, if any."""
-        newer = self._newer
+    def newer_version(self) -> NewerVersion | None:
+        """Return the reported later version, None once it is in force."""
+        newer = self._newer_version
         if newer is None or newer.version <= self.version:
             return None
         return newer
 
     @property
     def directory(self) -> Directory:
-        """Return the upstreams."""
+        """Return the directory that upstream updates are applied to."""
         return self._directory
 
     def service(self, name: ServiceName) -> Service | None:
-        """Return what the configuration in force says of a service."""
+        """Look up a service in the configuration in force."""
         if self._deployment is None:
             return None
         return self._deployment.services.get(name)
 
     @property
     def complete(self) -> bool:
-        """Tell whether calls can be served from what is known."""
+        """Tell whether a configuration and at least one upstream are known."""
         return self._deployment is not None and len(self._directory) > 0
 
-    def note_version(self, version: int, host: str) -> None:
-        """Note which version another entry has."""
-        if version > self.version and self.newer is None:
-            self._newer = NewerVersion(version, host, self._clock.now())
-
-    def forget_newer(self) -> None:
-        """Forget who has a later configuration; the next report tells."""
-        self._newer = None
-
-    def take_configuration(self, record: StoreRecord, source: str) -> None:
-        """Take a record of the configuration's topic."""
-        named = record.key == self._dialect.configuration_key
-        if named and record.payload is not None:
-            self.take_deployment(record.payload, source)
-
-    def take_deployment(self, text: bytes, source: str) -> bool:
-        """Put a configuration in force if it is newer; tell whether it was."""
-        read = self._dialect.read_deployment(text)
-        if isinstance(read, str):
-            _log.error('configuration refused', source=source, cause=read)
+    def record_peer_version(self, version: int, host: str) -> None:
+        """Record the configuration version that another entry reported."""
+        if version > self.version and self.newer_version is None:
+            self._newer_version = NewerVersion(version, host, self._clock.now())
+
+    def clear_newer_version(self) -> None:
+        """Drop the reported later version; the next report sets it again."""
+        self._newer_version = None
+
+    def apply_configuration(self, record: StoreRecord, source: str) -> None:
+        """Apply a record of the configuration topic; ignore other keys."""
+        is_configuration = record.key == self._wire_format.configuration_key
+        if is_configuration and record.payload is not None:
+            self.apply_deployment(record.payload, source)
+
+    def apply_deployment(self, payload: bytes, source: str) -> bool:
+        """Put a configuration in force if it is valid and newer.
+
+        Return whether it was put in force.
+        """
+        deployment = self._wire_format.read_deployment(payload)
+        if isinstance(deployment, str):
+            _log.error(
+                'invalid configuration ignored',
+                source=source,
+                cause=deployment,
+            )
             return False
-        if read.version <= self.version:
+        if deployment.version <= self.version:
             return False
         earlier = self.version
-        self._deployment = read
+        self._deployment = deployment
         _log.info(
             'configuration in force',
-            version=read.version,
+            version=deployment.version,
             earlier=earlier,
-            routes=len(read.routes),
+            routes=len(deployment.routes),
             source=source,
         )
         return True
 
-    def take_upstream(self, record: StoreRecord, source: str) -> None:
-        """Take an upstream's record, or the removal of its name."""
+    def apply_upstream(self, record: StoreRecord, source: str) -> None:
+        """Apply an upstream's record; one without payload removes it."""
         if record.payload is None:
             self._directory.remove(record.key, source)
             return
-        read = self._dialect.read_upstream(record.key, record.payload)
-        if isinstance(read, str):
-            _log.warning('record refused', source=source, cause=read)
+        upstream = self._wire_format.read_upstream(record.key, record.payload)
+        if isinstance(upstream, str):
+            _log.warning(
+                'invalid upstream record ignored',
+                source=source,
+                cause=upstream,
+            )
             return
-        self._directory.accept(read)
+        self._directory.accept(upstream)
--- a/src/amaranthrail/direct/deployment.py
+++ b/src/amaranthrail/direct/deployment.py
@@ -1,4 +1,4 @@
-"""Describe what one version of the operator's configuration allows."""
+"""Define a parsed configuration version and the upstreams' records."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from ..types import DomainName, Millis, OrganisationName, ServiceName
 
 DEFAULT_PRIORITY = 5
-#: Limits until a configuration states its own, in ms; those of the users'
+#: Time limits where a configuration states none, in ms: those of the users'
 #: sheets.
 DEFAULT_HEADER_TIMEOUT_MS = 3000
 DEFAULT_IDLE_TIMEOUT_MS = 15_000
 
-#: What is higher in the later of two records of one upstream: the wall time of
-#: its start, then the count of its records since.
+#: Orders the records of one upstream, later is greater: the wall time of its
+#: start in ms, then the number of the record since that start.
 OrderKey = tuple[int, int]
 
 
 class CallKind(Enum):
-    """Say whether a call may run again, and how its answer arrives."""
+    """State whether a call may be retried and whether it is streamed."""
 
     IDEMPOTENT = 'idempotent'
     NON_IDEMPOTENT = 'non_idempotent'
@@ -30,17 +30,19 @@
 
 
 class ServiceShare(msgspec.Struct, frozen=True):
-    """Hold a service and its weight among those of a route."""
+    """Give a service its weight in the traffic split of a route."""
 
     service: ServiceName
     weight: float
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Say where the calls under a host and a path prefix go.
+    """Map the calls under a host and a path prefix to services.
 
-    ``timeout_ms`` bounds the whole answer, ``target_ms`` is the time in which
-    it should begin, and ``target_gap_ms`` the longest pause in a stream.
+    ``timeout_ms`` bounds the time to the end of the response, ``target_ms`` is
+    the target time until it begins, and ``target_gap_ms`` the target for the
+    longest gap between events of a stream. ``max_attempts`` includes the first
+    attempt.
     """
 
     name: str
@@ -58,22 +60,24 @@
 
     @property
     def streaming(self) -> bool:
-        """Tell whether answers are event streams."""
+        """Tell whether responses are event streams."""
         return self.kind is CallKind.STREAMING
 
     @property
     def retryable(self) -> bool:
-        """Tell whether a call that may have run may be sent again."""
+        """Tell whether a call that may have run may be retried."""
         if self.streaming:
             return self.resumable
         return self.kind is CallKind.IDEMPOTENT
 
 
 class ExpertLayout(msgspec.Struct, frozen=True):
-    """Give the shape of the expert maps of a service's rank groups.
+    """Bound the expert maps of a service's rank groups.
 
-    ``placements`` bounds the experts of one layer set on one rank, ``spare``
-    the new ones that a rank can copy for one map; each takes ``copy_ms``.
+    ``sets`` is the number of layer sets and ``experts`` that of the experts in
+    each. ``placements`` bounds the experts, replicas included, of one layer set
+    on one rank, ``spare`` those that one map change may copy to a rank; copying
+    one takes ``copy_ms``.
     """
 
     sets: int
@@ -86,14 +90,14 @@
 class Engine(msgspec.Struct, frozen=True):
     """Describe the engines of a service.
 
-    They write in passes, each ``tokens_per_step`` of each stream.
+    Each engine step writes ``tokens_per_step`` tokens of every stream.
     """
 
     tokens_per_step: int
 
 
 class Service(msgspec.Struct, frozen=True):
-    """Describe the replicas behind one name."""
+    """Describe the replicas of one service; plain ones have no engine."""
 
     name: ServiceName
     layout: ExpertLayout | None = None
@@ -101,7 +105,7 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """Bound what callers may send and how long they may take."""
+    """Bound the size of callers' requests in bytes and their time in ms."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -110,7 +114,7 @@
 
 
 class Organisation(msgspec.Struct, frozen=True):
-    """Name an organisation; its priority, if any, overrides the route's."""
+    """Identify a caller's organisation; its priority overrides the route's."""
 
     name: OrganisationName
     priority: int | None = None
@@ -118,10 +122,10 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """Hold one accepted configuration, with the bytes it was read from.
+    """Hold one valid configuration and the payload it was read from.
 
-    ``credentials`` is None where the configuration names no organisations:
-    every caller is then anonymous.
+    ``credentials`` maps API keys to organisations. It is None where the
+    configuration names no organisations: every caller is then anonymous.
     """
 
     version: int
@@ -129,7 +133,7 @@
     services: Mapping[ServiceName, Service]
     limits: CallerLimits
     credentials: Mapping[str, Organisation] | None
-    text: bytes
+    payload: bytes
     _by_host: dict[str, dict[str, Route]] = field(
         init=False,
         default_factory=dict,
@@ -137,13 +141,13 @@
     )
 
     def __post_init__(self) -> None:
-        """Index the routes by host and prefix."""
+        """Index the routes by lower-case host and by path prefix."""
         for route in self.routes:
             prefixes = self._by_host.setdefault(route.host.lower(), {})
             prefixes[route.prefix] = route
 
     def target_gap_ms(self, service: ServiceName) -> Millis | None:
-        """Return the shortest pause that a service's streams may have."""
+        """Return the least target gap among a service's routes, in ms."""
         gaps = [
             route.target_gap_ms
             for route in self.routes
@@ -153,7 +157,7 @@
         return min(gaps, default=None)
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of a path, if any."""
+        """Return the route with the longest matching path prefix, if any."""
         prefixes = self._by_host.get(host.lower())
         end = len(path)
         while prefixes:
@@ -167,17 +171,17 @@
 
 
 class UpstreamState(Enum):
-    """Say whether an upstream takes new work."""
+    """State whether an upstream accepts new calls."""
 
     READY = 'ready'
     DRAINING = 'draining'
 
 
 class UpstreamRecord(msgspec.Struct, frozen=True):
-    """Hold what an upstream last said of itself.
+    """Hold an upstream's latest record, as it wrote it to the store.
 
-    ``started_at`` is the wall time of its start and ``sequence`` counts what it
-    has written since; both order records of one name.
+    ``started_at`` is the wall time of its start in ms and ``sequence`` counts
+    the records written since; together they order the records of one name.
     """
 
     name: str
@@ -189,9 +193,9 @@
     state: UpstreamState
     started_at: int
     sequence: int
-    text: bytes = b''
+    payload: bytes = b''
 
     @property
     def order_key(self) -> OrderKey:
-        """Return what is higher in the later of two records of one name."""
+        """Return a key that is greater for the later of two records."""
         return self.started_at, self.sequence
--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -1,4 +1,4 @@
-"""Serve one call: place it, send it, and send it again where that is safe."""
+"""Forward a call to an upstream and retry it where that is safe."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from ..policy.placement import UpstreamView, place
 from ..policy.returns import return_after, return_later
 from ..types import DomainName, HeaderList
-from .attempt import Attempts
+from .attempt import AttemptSender
 from .call import BufferedResponse, Call, Failure, StreamTiming, UpstreamChoice
 from .calllog import CallLog
 from .clusterstate import ClusterState
@@ -28,75 +28,81 @@
 from .upstreams import Upstream
 
 _FIRST_SERVER_ERROR = 500
-#: Time after a call's deadline at which it is given up, in ms: the upstream's
-#: own answer at the deadline goes first.
+#: Time after a call's deadline at which the entry gives it up, in ms: an
+#: upstream that responds at the deadline is passed on instead.
 DEADLINE_SLACK_MS = 60.0
-#: Least time that is left for an attempt, in ms: a plain call takes 23 ms.
+#: Least time left for which another attempt is made, in ms: a plain call takes
+#: 23 ms.
 MIN_ATTEMPT_MS = 30.0
-#: Upstreams that one call may fail to connect to before it is given up.
-MAX_UNREACHED = 4
+#: Upstreams that a call may fail to reach before it is refused.
+MAX_UNDELIVERED = 4
 
 
 class ForwarderSettings(msgspec.Struct, frozen=True):
-    """Hold what forwarding needs to know, and how refusals are told.
+    """Bundle what forwarding needs besides upstreams and retry budgets.
 
-    ``domain`` is where this entry is, ``loads`` what others have in flight, and
-    ``watch`` what ends waits for a silent upstream.
+    ``domain`` is this entry's failure domain, ``loads`` holds other entries'
+    calls in flight, ``stalls`` ends waits for a stalled upstream, and
+    ``refusal_headers`` makes the headers of a refusal.
     """
 
     domain: DomainName
     loads: SharedLoads
-    watch: StallDetector
+    stalls: StallDetector
     refusal_headers: Callable[[Refusal], HeaderList]
 
 
 class Forwarder:
-    """Answer calls from upstreams."""
+    """Choose upstreams for calls, send them and retry failed attempts."""
 
     def __init__(
         self,
-        world: ClusterState,
-        attempts: Attempts,
-        repeats: RetryBudgets,
-        journal: CallLog,
+        cluster: ClusterState,
+        attempts: AttemptSender,
+        retry_budgets: RetryBudgets,
+        call_log: CallLog,
         settings: ForwarderSettings,
     ) -> None:
-        """Take the parts that a call uses."""
-        self._world = world
+        """Use one random source to break ties and spread callers' retries."""
+        self._cluster = cluster
         self._attempts = attempts
-        self._repeats = repeats
-        self._journal = journal
+        self._retry_budgets = retry_budgets
+        self._call_log = call_log
         self._domain = settings.domain
         self._loads = settings.loads
-        self._watch = settings.watch
+        self._stalls = settings.stalls
         self._refusal_headers = settings.refusal_headers
         self._clock = Clock()
         self._random = random.Random()
 
-    async def answer(self, call: Call, reply: Reply) -> None:
-        """Answer a call; one that is given up gets its refusal at once."""
-        self._repeats.note_call(call.service)
-        engines = self._world.directory.pace(call.service)
+    async def forward(self, call: Call, reply: Reply) -> None:
+        """Send a call's response or, by its deadline, a refusal."""
+        self._retry_budgets.record_call(call.service)
+        step_times = self._cluster.directory.step_times(call.service)
         relay = StreamRelay(
             reply,
-            call.facts.last_event_id,
+            call.metadata.last_event_id,
             StreamTiming(call.arrived_at),
-            engines,
-            partial(self._watch.wait, engines, partial(self._may_leave, call)),
+            step_times,
+            partial(
+                self._stalls.guard,
+                step_times,
+                partial(self._reserve_switch, call),
+            ),
         )
         outcome: BufferedResponse | Refusal | None = None
-        left_ms = call.deadline - self._clock.now()
+        remaining_ms = call.deadline - self._clock.now()
         is_expired = True
         try:
-            with move_on_after(left_ms + DEADLINE_SLACK_MS):
+            with move_on_after(remaining_ms + DEADLINE_SLACK_MS):
                 outcome = await self._try_upstreams(call, relay)
                 is_expired = False
         except trio.Cancelled:
-            self._journal.left(call, relay.events)
+            self._call_log.record_disconnect(call, relay.events)
             raise
         if is_expired:
-            outcome = _expired(call)
-        self._journal.ended(call, outcome, relay.events, relay.pace)
+            outcome = _refuse_expired(call)
+        self._call_log.record_end(call, outcome, relay.events, relay.timing)
         if isinstance(outcome, BufferedResponse):
             await reply.whole(outcome.status, outcome.headers, outcome.body)
         elif isinstance(outcome, Refusal) and not reply.started:
@@ -110,106 +116,125 @@
         """Return what the caller gets, None for a stream that is complete."""
         failed: BufferedResponse | Failure | None = None
         while True:
-            upstream = self._place(call)
+            upstream = self._choose_upstream(call)
             if upstream is None:
-                return self._given_up(call, failed)
+                return self._final_result(call, failed)
             ran_before = call.may_have_run
             call.may_have_run = True
-            attempt = await self._attempts.make(call, upstream, relay)
+            attempt = await self._attempts.send(call, upstream, relay)
             if attempt is None:
                 return None
-            call.may_have_run = ran_before or _ran(attempt)
-            if not self._may_repeat(call, attempt):
-                return self._given_up(call, attempt)
-            self._journal.repeated(call, upstream.record, attempt)
+            call.may_have_run = ran_before or _may_have_run(attempt)
+            if not self._should_retry(call, attempt):
+                return self._final_result(call, attempt)
+            self._call_log.record_retry(call, upstream.record, attempt)
             failed = attempt
 
-    def _place(self, call: Call) -> Upstream | None:
-        directory = self._world.directory
-        usable = directory.ready_upstreams(call.service, call.tried)
-        told = self._loads.totals()
+    def _choose_upstream(self, call: Call) -> Upstream | None:
+        """Choose an upstream not tried yet; record the choice in the call."""
+        directory = self._cluster.directory
+        ready = directory.ready_upstreams(call.service, call.tried_upstreams)
+        reported = self._loads.totals()
         views = [
-            one.view(self._domain, told[one.record.name]) for one in usable
+            upstream.view(self._domain, reported[upstream.record.name])
+            for upstream in ready
         ]
-        if not call.choices and not self._begins(call, views):
+        if not call.choices and not self._should_admit(call, views):
             return None
         view = place(views, self._random)
-        upstream = None if view is None else directory.find(view.name)
-        if view is None or upstream is None:
+        chosen = None if view is None else directory.find(view.name)
+        if view is None or chosen is None:
             return None
         call.choices.append(
             UpstreamChoice(
                 view.name,
-                upstream.record.sequence,
+                chosen.record.sequence,
                 view.own,
                 round(view.others, 1),
                 view.avoided,
             ),
         )
-        return upstream
+        return chosen
+
+    def _should_admit(self, call: Call, views: list[UpstreamView]) -> bool:
+        """Tell whether the engines have capacity for a call.
 
-    def _begins(self, call: Call, views: list[UpstreamView]) -> bool:
-        """Tell whether engines have room for a stream; others always begin."""
-        service = self._world.service(call.service)
+        Only streams of services with engines are subject to admission.
+        """
+        service = self._cluster.service(call.service)
         engine = None if service is None else service.engine
         if not views or engine is None or not call.route.streaming:
             return True
-        call.crest = Crest(
+        call.engine_load = Crest(
             min(view.load_per_slot for view in views),
-            self._world.directory.pace(call.service).pass_ms,
+            self._cluster.directory.step_times(call.service).step_ms,
         )
-        wish = StreamWish(
+        stream = StreamWish(
             left_ms=call.deadline - self._clock.now(),
             route_ms=call.route.timeout_ms,
-            passes=call.facts.expected_tokens / engine.tokens_per_step,
-            continued=call.facts.last_event_id is not None,
+            passes=call.metadata.expected_tokens / engine.tokens_per_step,
+            continued=call.metadata.last_event_id is not None,
         )
-        return begins(wish, call.crest)
+        return begins(stream, call.engine_load)
+
+    def _reserve_switch(self, call: Call) -> bool:
+        """Take a retry for a stream that may leave its stalled upstream.
 
-    def _may_leave(self, call: Call) -> bool:
-        """Tell whether a stream may leave its upstream, and count that."""
-        others = self._world.directory.ready_upstreams(call.service, call.tried)
-        is_last = call.sent + 1 >= call.route.max_attempts
+        Return whether it may resume at another upstream.
+        """
+        others = self._cluster.directory.ready_upstreams(
+            call.service, call.tried_upstreams
+        )
+        is_last = call.delivered_attempts + 1 >= call.route.max_attempts
         if is_last or not others or not call.route.retryable:
             return False
-        call.repeat_counted = self._repeats.spend(call.service)
-        return call.repeat_counted
+        call.retry_reserved = self._retry_budgets.spend(call.service)
+        return call.retry_reserved
 
-    def _may_repeat(
+    def _should_retry(
         self, call: Call, attempt: BufferedResponse | Failure
     ) -> bool:
-        """Tell whether a call is sent once more, and count it."""
+        """Tell whether a call is retried; take the retry from the budget."""
         if isinstance(attempt, BufferedResponse):
-            call.sent += 1
+            call.delivered_attempts += 1
             if attempt.status < _FIRST_SERVER_ERROR:
                 return False
-        elif attempt.misdirected or not attempt.arrived:
-            return self._may_redirect(call, attempt)
+        elif attempt.misdirected or not attempt.delivered:
+            return self._should_redirect(call, attempt)
         else:
-            call.sent += 1
+            call.delivered_attempts += 1
         if call.may_have_run and not call.route.retryable:
             return False
-        if call.sent >= call.route.max_attempts or not self._has_time(call):
+        if (
+            call.delivered_attempts >= call.route.max_attempts
+            or not self._has_time(call)
+        ):
             return False
-        counted = call.repeat_counted
-        call.repeat_counted = False
-        return counted or self._repeats.spend(call.service)
-
-    def _may_redirect(self, call: Call, attempt: Failure) -> bool:
-        """Tell whether a call that met no upstream goes to the next one."""
-        call.unreached += 1
-        if call.unreached >= MAX_UNREACHED or not self._has_time(call):
+        reserved = call.retry_reserved
+        call.retry_reserved = False
+        return reserved or self._retry_budgets.spend(call.service)
+
+    def _should_redirect(self, call: Call, attempt: Failure) -> bool:
+        """Tell whether a call not delivered as addressed is sent elsewhere.
+
+        Only an attempt that some upstream received is taken from the budget.
+        """
+        call.undelivered_attempts += 1
+        if call.undelivered_attempts >= MAX_UNDELIVERED or not self._has_time(
+            call
+        ):
             return False
-        return not attempt.arrived or self._repeats.spend(call.service)
+        return not attempt.delivered or self._retry_budgets.spend(call.service)
 
     def _has_time(self, call: Call) -> bool:
         return call.deadline - self._clock.now() > MIN_ATTEMPT_MS
 
-    def _given_up(
+    def _final_result(
         self,
         call: Call,
         failed: BufferedResponse | Failure | None,
     ) -> BufferedResponse | Refusal:
+        """Return the upstream's error response or a refusal."""
         if isinstance(failed, BufferedResponse):
             return failed
         cause = f'no upstream of {call.service} takes work'
@@ -217,12 +242,12 @@
             cause = failed.cause
         if call.may_have_run:
             return unknown(Reason.UPSTREAM_BROKEN, cause)
-        if call.crest is not None and not call.choices:
-            left_ms = call.deadline - self._clock.now()
+        if call.engine_load is not None and not call.choices:
+            remaining_ms = call.deadline - self._clock.now()
             return not_run(
                 Reason.NO_CAPACITY,
                 f'engines of {call.service} are full or too slow',
-                return_later(left_ms, self._random),
+                return_later(remaining_ms, self._random),
             )
         return not_run(
             Reason.NO_REPLICA if failed is None else Reason.NO_CAPACITY,
@@ -231,12 +256,12 @@
         )
 
 
-def _ran(attempt: BufferedResponse | Failure) -> bool:
-    return isinstance(attempt, BufferedResponse) or attempt.ran
+def _may_have_run(attempt: BufferedResponse | Failure) -> bool:
+    return isinstance(attempt, BufferedResponse) or attempt.may_have_run
 
 
-def _expired(call: Call) -> Refusal:
-    detail = 'no answer before the deadline'
+def _refuse_expired(call: Call) -> Refusal:
+    detail = 'no response before the deadline'
     if call.may_have_run:
         return unknown(Reason.EXPIRED, detail)
     return not_run(Reason.EXPIRED, detail)
--- a/src/amaranthrail/direct/loads.py
+++ b/src/amaranthrail/direct/loads.py
@@ -1,4 +1,4 @@
-"""Tell other entries that this one lives, and its calls at each upstream."""
+"""Exchange UDP reports with other entries: liveness and calls in flight."""
 
 from __future__ import annotations
 
@@ -12,102 +12,104 @@
 from ..logs import part_logger
 from ..policy.membership import Member
 from .clusterstate import ClusterState
-from .members import MAX_RECEIVERS, Members
-from .peermessages import LoadReport, decode_report, encode_message
+from .members import MAX_REPORT_PEERS, Members
+from .peermessages import LoadReport, decode_load_report, encode_message
 from .settings import DirectSettings
 
-#: Time between two reports to other entries, in ms: a tenth of a short stream.
+#: Interval between reports of an entry that has calls, in ms: a tenth of the
+#: duration of a short stream.
 REPORT_INTERVAL_MS = 100.0
-#: The same for an entry without calls, in ms: a third of the time after which
-#: it would count as gone.
+#: Interval between reports of an entry without calls, in ms: a third of the
+#: liveness timeout of entries.
 IDLE_INTERVAL_MS = 300.0
-#: Age from which a report counts no more, in ms; single datagrams get lost.
-REPORT_LIFE_MS = 450.0
+#: Age from which a report's calls are not counted any more, in ms; single
+#: datagrams get lost.
+REPORT_EXPIRY_MS = 450.0
 _MAX_DATAGRAM_BYTES = 65_536
 _log = part_logger('loads')
 
 
-class _Heard(msgspec.Struct, frozen=True):
-    heard_at: float
+class _ReceivedReport(msgspec.Struct, frozen=True):
+    received_at: float
     calls: dict[str, int]
 
 
 class SharedLoads:
-    """Keep what entries last said of their calls in flight."""
+    """Keep the latest report of each entry on its calls in flight."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start without any report."""
+        """Start without reports; ``clock`` decides when one expires."""
         self._clock = clock
-        self._reports: dict[str, _Heard] = {}
+        self._reports: dict[str, _ReceivedReport] = {}
 
-    def take(self, sender: str, calls: dict[str, int]) -> None:
-        """Keep an entry's latest report."""
-        self._reports[sender] = _Heard(self._clock.now(), calls)
+    def update(self, sender: str, calls: dict[str, int]) -> None:
+        """Replace an entry's report; ``calls`` counts by upstream name."""
+        self._reports[sender] = _ReceivedReport(self._clock.now(), calls)
 
     def totals(self) -> Counter[str]:
-        """Return other entries' calls by upstream, as far as they are heard."""
-        oldest = self._clock.now() - REPORT_LIFE_MS
+        """Sum other entries' calls by upstream over unexpired reports."""
+        oldest = self._clock.now() - REPORT_EXPIRY_MS
         totals: Counter[str] = Counter()
         for report in self._reports.values():
-            if report.heard_at >= oldest:
+            if report.received_at >= oldest:
                 totals.update(report.calls)
         return totals
 
 
 class ReportExchange:
-    """Send this entry's calls in flight to the others and take theirs."""
+    """Send this entry's reports to other entries and apply theirs."""
 
     def __init__(
         self,
         settings: DirectSettings,
-        world: ClusterState,
+        cluster: ClusterState,
         shared: SharedLoads,
         members: Members,
     ) -> None:
-        """Take what is told, where it goes, and who the others are."""
+        """Apply received reports to ``shared``, ``members`` and ``cluster``."""
         self._address = (settings.host, settings.peer_port)
-        self._world = world
+        self._cluster = cluster
         self._clock = Clock()
         self._shared = shared
         self._members = members
         self._random = random.Random()
 
     async def run(self) -> None:
-        """Exchange reports for good."""
+        """Exchange reports until cancelled."""
         with trio.socket.socket(type=trio.socket.SOCK_DGRAM) as socket:
             await socket.bind(self._address)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._receive, socket)
-                await self._send(socket)
+                nursery.start_soon(self._receive_reports, socket)
+                await self._send_reports(socket)
 
-    async def _send(self, socket: trio.socket.SocketType) -> None:
+    async def _send_reports(self, socket: trio.socket.SocketType) -> None:
         had_calls = False
         while True:
-            calls = self._world.directory.calls_in_flight()
-            payload = encode_message(self._report(calls))
+            calls = self._cluster.directory.calls_in_flight()
+            payload = encode_message(self._make_report(calls))
             for host in self._sample(sorted(self._members.hosts)):
-                await self._send_one(socket, payload, host)
+                await self._send_report(socket, payload, host)
             busy = bool(calls) or had_calls
             had_calls = bool(calls)
             await sleep(REPORT_INTERVAL_MS if busy else IDLE_INTERVAL_MS)
 
-    def _report(self, calls: dict[str, int]) -> LoadReport:
+    def _make_report(self, calls: dict[str, int]) -> LoadReport:
         own = self._members.own
-        alive = self._sample(self._members.alive)
+        live_hosts = self._sample(self._members.live_hosts)
         return LoadReport(
             calls,
-            alive,
+            live_hosts,
             own.started_at,
             own.leaving_at,
-            self._world.complete,
-            self._world.version,
+            self._cluster.complete,
+            self._cluster.version,
         )
 
     def _sample(self, hosts: list[str]) -> list[str]:
-        """Return as many hosts as one report goes to or names."""
-        return self._random.sample(hosts, min(MAX_RECEIVERS, len(hosts)))
+        """Draw at random as many hosts as one report is sent to or names."""
+        return self._random.sample(hosts, min(MAX_REPORT_PEERS, len(hosts)))
 
-    async def _send_one(
+    async def _send_report(
         self,
         socket: trio.socket.SocketType,
         payload: bytes,
@@ -116,10 +118,10 @@
         try:
             await socket.sendto(payload, (host, self._address[1]))
         except OSError as error:
-            # The next report replaces this one.
+            # Not retried: the next report replaces this one.
             _log.debug('report not sent', peer=host, cause=str(error))
 
-    async def _receive(self, socket: trio.socket.SocketType) -> None:
+    async def _receive_reports(self, socket: trio.socket.SocketType) -> None:
         while True:
             try:
                 payload, sender = await socket.recvfrom(_MAX_DATAGRAM_BYTES)
@@ -128,19 +130,19 @@
                 _log.debug('report refused', cause=str(error))
                 continue
             try:
-                report = decode_report(payload)
+                report = decode_load_report(payload)
             except msgspec.DecodeError as error:
-                _log.warning('report not understood', cause=str(error))
+                _log.warning('invalid report ignored', cause=str(error))
                 continue
-            self._shared.take(sender[0], report.calls)
-            self._members.note_heard(
+            self._shared.update(sender[0], report.calls)
+            self._members.record_report(
                 Member(
                     sender[0],
                     report.started_at,
                     self._clock.now(),
-                    report.leaving_at,
-                    report.informed,
+                    report.shutdown_at,
+                    report.complete,
                 ),
             )
-            self._members.note_named(report.hosts)
-            self._world.note_version(report.version, sender[0])
+            self._members.add_reported(report.live_hosts)
+            self._cluster.record_peer_version(report.version, sender[0])
--- a/src/amaranthrail/direct/members.py
+++ b/src/amaranthrail/direct/members.py
@@ -1,4 +1,4 @@
-"""Know the other entries: where they are, who lives, who leads."""
+"""Track the other entries: their hosts, liveness and the leader."""
 
 from __future__ import annotations
 
@@ -16,115 +16,131 @@
     outlasts,
 )
 
-#: Time for which a host that fell silent still counts as one that may run an
-#: entry, in ms: regions lose each other for an hour now and then, and repeats
-#: of all entries have one bound.
-MEMORY_MS = 7_200_000.0
-#: Entries that get one report; more take turns.
-MAX_RECEIVERS = 24
+#: Time for which a host without reports still counts as one that may run an
+#: entry, in ms: regions lose contact with each other for an hour at times, and
+#: one bound holds for the retries of all entries together.
+HOST_RETENTION_MS = 7_200_000.0
+#: Hosts that one report is sent to, and that it names at most; where there are
+#: more, each report goes to a random sample.
+MAX_REPORT_PEERS = 24
 _log = part_logger('members')
 
 
 class Members:
-    """Keep what entries last said of themselves."""
+    """Keep the latest report of each other entry, and the known hosts."""
 
     def __init__(self, host: str, clock: Clock) -> None:
-        """Take this entry's host; nobody else is known."""
+        """Start with this entry, on ``host``, as the only member."""
         self._clock = clock
         self._own = Member(host, clock.wall(), clock.now())
-        self._heard: dict[str, Member] = {}
+        self._reports: dict[str, Member] = {}
         self._listed: frozenset[str] = frozenset()
-        self._named: frozenset[str] = frozenset()
+        self._reported: frozenset[str] = frozenset()
         self._seeds: frozenset[str] = frozenset()
-        self._led = False
+        self._was_leader = False
 
     @property
     def own(self) -> Member:
-        """Return what this entry says of itself."""
+        """Return this entry as it describes itself in its reports."""
         return self._own
 
     @property
     def hosts(self) -> frozenset[str]:
-        """Return the other hosts that may run an entry."""
-        self._forget_old()
-        known = self._seeds | self._listed | self._named
-        return (known | frozenset(self._heard)) - {self._own.host}
+        """Return the other hosts that may run an entry, live or not."""
+        self._drop_old_reports()
+        known = self._seeds | self._listed | self._reported
+        return (known | frozenset(self._reports)) - {self._own.host}
 
     @property
-    def alive(self) -> list[str]:
-        """Return the hosts of the entries that were heard lately."""
-        return [one.host for one in self._living()]
+    def live_hosts(self) -> list[str]:
+        """Return the hosts of the other entries within liveness timeout."""
+        return [member.host for member in self._live_members()]
 
     @property
-    def successors(self) -> int:
-        """Return how many other entries can be asked once this one ends."""
-        return sum(outlasts(one, self._own) for one in self._living())
+    def successor_count(self) -> int:
+        """Count the entries that can serve sync requests after this one."""
+        return sum(
+            outlasts(member, self._own) for member in self._live_members()
+        )
 
     @property
     def count(self) -> int:
-        """Return how many entries there may be, this one included."""
+        """Count the entries that may be running, this one included."""
         return len(self.hosts) + 1
 
     @property
-    def long_lost(self) -> frozenset[str]:
-        """Return the listed hosts that have not been heard for long."""
-        if self._clock.now() - self._own.heard_at < MEMORY_MS:
+    def lost_hosts(self) -> frozenset[str]:
+        """Return the listed hosts without reports for HOST_RETENTION_MS.
+
+        The result is empty until this entry has run that long itself.
+        """
+        if self._clock.now() - self._own.heard_at < HOST_RETENTION_MS:
             return frozenset()
-        self._forget_old()
-        reached = frozenset(self._heard) | self._named
+        self._drop_old_reports()
+        reached = frozenset(self._reports) | self._reported
         return self._listed - reached - {self._own.host}
 
-    def check_lead(self) -> bool:
-        """Tell whether this entry leads the expert maps; log a change."""
+    def check_leadership(self) -> bool:
+        """Tell whether this entry is leader of the expert maps; log changes."""
         leading = leads(
             self._own,
-            self._heard.values(),
+            self._reports.values(),
             self._clock.now(),
-            self._life_ms(),
+            self._liveness_timeout_ms(),
         )
-        if leading is not self._led:
-            self._led = leading
-            _log.info('lead changed', leading=leading, alive=len(self.alive))
+        if leading is not self._was_leader:
+            self._was_leader = leading
+            _log.info(
+                'leadership changed',
+                leading=leading,
+                alive=len(self.live_hosts),
+            )
         return leading
 
-    def take_seeds(self, hosts: Iterable[str]) -> None:
-        """Take the hosts that the settings name."""
+    def replace_seeds(self, hosts: Iterable[str]) -> None:
+        """Replace the hosts that come from the settings."""
         self._seeds = frozenset(hosts)
 
-    def take_listed(self, hosts: Iterable[str]) -> None:
-        """Take the hosts that the store lists, in place of all named before."""
+    def replace_listed(self, hosts: Iterable[str]) -> None:
+        """Replace the hosts that come from the store's list of entries.
+
+        Hosts that were only named in other entries' reports are dropped.
+        """
         self._listed = frozenset(hosts)
-        self._named = frozenset()
+        self._reported = frozenset()
 
-    def note_named(self, hosts: Collection[str]) -> None:
-        """Take hosts that another entry has heard lately."""
-        self._named |= frozenset(hosts)
+    def add_reported(self, hosts: Collection[str]) -> None:
+        """Add hosts that another entry reported as live."""
+        self._reported |= frozenset(hosts)
 
-    def note_heard(self, member: Member) -> None:
-        """Take an entry's word of itself."""
-        if member.host not in self._heard:
+    def record_report(self, member: Member) -> None:
+        """Replace what an entry last reported of itself."""
+        if member.host not in self._reports:
             _log.info(
-                'entry heard',
+                'entry discovered',
                 peer=member.host,
                 started_at=member.started_at,
             )
-        self._heard[member.host] = member
+        self._reports[member.host] = member
 
-    def leave(self) -> None:
-        """Say from now on that this entry leaves."""
+    def begin_shutdown(self) -> None:
+        """Report from now on that this entry is shutting down."""
         self._own = replace(self._own, leaving_at=self._clock.wall())
 
-    def _living(self) -> list[Member]:
-        """Return the other entries that were heard lately."""
+    def _live_members(self) -> list[Member]:
         now = self._clock.now()
-        life = self._life_ms()
-        return [one for one in self._heard.values() if is_alive(one, now, life)]
-
-    def _life_ms(self) -> float:
-        return expected_life_ms(self.count, MAX_RECEIVERS)
-
-    def _forget_old(self) -> None:
-        oldest = self._clock.now() - MEMORY_MS
-        for host, member in list(self._heard.items()):
+        timeout_ms = self._liveness_timeout_ms()
+        return [
+            member
+            for member in self._reports.values()
+            if is_alive(member, now, timeout_ms)
+        ]
+
+    def _liveness_timeout_ms(self) -> float:
+        return expected_life_ms(self.count, MAX_REPORT_PEERS)
+
+    def _drop_old_reports(self) -> None:
+        oldest = self._clock.now() - HOST_RETENTION_MS
+        for host, member in list(self._reports.items()):
             if member.heard_at < oldest:
-                del self._heard[host]
+                del self._reports[host]
--- a/src/amaranthrail/direct/peermessages.py
+++ b/src/amaranthrail/direct/peermessages.py
@@ -1,4 +1,4 @@
-"""Define what entries tell each other, as msgpack over TCP and UDP."""
+"""Define the messages between entries: msgpack arrays over TCP and UDP."""
 
 from __future__ import annotations
 
@@ -6,7 +6,10 @@
 
 
 class RecordVersion(msgspec.Struct, array_like=True, frozen=True):
-    """Say which record of an upstream an entry has."""
+    """Identify the record of an upstream that an entry has.
+
+    ``started_at`` and ``sequence`` order records as in UpstreamRecord.
+    """
 
     started_at: int
     sequence: int
@@ -14,14 +17,18 @@
 
 
 class SyncRequest(msgspec.Struct, array_like=True, frozen=True):
-    """SyncRequest an entry for what is newer than this."""
+    """Request what is newer than the sender's state.
+
+    ``version`` is that of its configuration, ``upstreams`` maps names to the
+    records that it has.
+    """
 
     version: int
     upstreams: dict[str, RecordVersion]
 
 
 class RemovedUpstream(msgspec.Struct, array_like=True, frozen=True):
-    """Name an upstream that has gone, and its last known record."""
+    """Name an upstream that was removed, with the order of its last record."""
 
     name: str
     started_at: int
@@ -29,54 +36,54 @@
 
 
 class SyncResponse(msgspec.Struct, array_like=True, frozen=True):
-    """Hold what the asked entry knows and the asker does not.
+    """Hold the updates that the requesting entry lacks.
 
-    ``configuration`` is empty where the asker's is as new; ``upstreams`` maps
-    names to the records as the store had them.
+    ``configuration`` is empty where the requester's is as new; ``upstreams``
+    maps names to the records' payloads as the store had them.
     """
 
     configuration: bytes
     upstreams: dict[str, bytes]
-    gone: list[RemovedUpstream]
+    removed: list[RemovedUpstream]
 
 
 class LoadReport(msgspec.Struct, array_like=True, frozen=True):
-    """Tell an entry's calls in flight by upstream, and about entries.
+    """Report an entry's calls in flight by upstream, and its own state.
 
-    ``hosts`` are some of those that it has heard lately, ``started_at`` is the
-    wall time of its own start in ms, ``leaving_at`` that of its signal to stop
-    (0 before), ``informed`` says that it knows a configuration and upstreams,
-    and ``version`` is that of its configuration.
+    ``live_hosts`` are some of the entries that it received reports from lately.
+    ``started_at`` is the wall time of its start in ms, ``shutdown_at`` that of
+    its signal to stop (0 before). ``complete`` says that it knows a
+    configuration and upstreams, ``version`` is that of its configuration.
     """
 
     calls: dict[str, int]
-    hosts: list[str]
+    live_hosts: list[str]
     started_at: int
-    leaving_at: int = 0
-    informed: bool = True
+    shutdown_at: int = 0
+    complete: bool = True
     version: int = 0
 
 
-_ask_decoder = msgspec.msgpack.Decoder(SyncRequest)
-_news_decoder = msgspec.msgpack.Decoder(SyncResponse)
+_request_decoder = msgspec.msgpack.Decoder(SyncRequest)
+_response_decoder = msgspec.msgpack.Decoder(SyncResponse)
 _report_decoder = msgspec.msgpack.Decoder(LoadReport)
 
 
 def encode_message(message: SyncRequest | SyncResponse | LoadReport) -> bytes:
-    """Return the bytes of a message."""
+    """Encode a message as a msgpack array in field order."""
     return msgspec.msgpack.encode(message)
 
 
-def decode_ask(payload: bytes) -> SyncRequest:
-    """Return a question. Raises msgspec.DecodeError."""
-    return _ask_decoder.decode(payload)
+def decode_sync_request(payload: bytes) -> SyncRequest:
+    """Decode a SyncRequest. Raises msgspec.DecodeError."""
+    return _request_decoder.decode(payload)
 
 
-def decode_news(payload: bytes) -> SyncResponse:
-    """Return an answer. Raises msgspec.DecodeError."""
-    return _news_decoder.decode(payload)
+def decode_sync_response(payload: bytes) -> SyncResponse:
+    """Decode a SyncResponse. Raises msgspec.DecodeError."""
+    return _response_decoder.decode(payload)
 
 
-def decode_report(payload: bytes) -> LoadReport:
-    """Return a report of loads. Raises msgspec.DecodeError."""
+def decode_load_report(payload: bytes) -> LoadReport:
+    """Decode a LoadReport. Raises msgspec.DecodeError."""
     return _report_decoder.decode(payload)
--- a/src/amaranthrail/direct/peers.py
+++ b/src/amaranthrail/direct/peers.py
@@ -1,4 +1,4 @@
-"""Learn news from other entries while the store gives none."""
+"""Exchange updates directly between entries while the store gives none."""
 
 from __future__ import annotations
 
@@ -22,198 +22,205 @@
     RemovedUpstream,
     SyncRequest,
     SyncResponse,
-    decode_ask,
-    decode_news,
+    decode_sync_request,
+    decode_sync_response,
     encode_message,
 )
 from .ports import Snapshot, StorePort, StoreRecord, Topic
 from .settings import DirectSettings
-from .sync import StoreContact
-
-#: Silence of the store after which other entries are asked, in ms; it may
-#: hold a read for 3,000.
-SILENCE_MS = 3400.0
-#: Time between two questions, in ms: news cross 5 entries within a second.
-ASK_INTERVAL_MS = 300.0
-#: Bound of one question, in ms.
-ASK_TIMEOUT_MS = 800.0
-#: Time between reads of the list of entries, in ms; reports of loads name
-#: entries too, and calls are billed.
+from .sync import StoreStatus
+
+#: Time without a response of the store after which other entries get sync
+#: requests, in ms; the store may hold a read for 3,000.
+STORE_SILENCE_MS = 3400.0
+#: Interval between sync requests, in ms: updates reach 5 entries within a
+#: second.
+SYNC_INTERVAL_MS = 300.0
+#: Timeout of one sync request, in ms.
+SYNC_TIMEOUT_MS = 800.0
+#: Longest interval between reads of the store's list of entries, in ms; load
+#: reports name entries too, and calls to the store are billed.
 LIST_INTERVAL_MS = 30_000.0
-#: Time until a failed write of this entry's own record is tried again, in ms.
-REGISTER_AGAIN_MS = 2000.0
-#: Time after which an entry that knows a later configuration is asked for it,
-#: in ms: the store tells within 400, and it must be in force within 2,000.
+#: Delay until a failed write of this entry's own record is retried, in ms.
+REGISTER_RETRY_MS = 2000.0
+#: Time after which an entry that reported a later configuration gets a sync
+#: request, in ms: the store delivers the configuration within 400, and it must
+#: be in force within 2,000.
 OVERDUE_MS = 800.0
-_BROKEN = (*STREAM_ERRORS, msgspec.DecodeError)
+_SYNC_ERRORS = (*STREAM_ERRORS, msgspec.DecodeError)
 _log = part_logger('peers')
 
 
-class PeerTies(msgspec.Struct, frozen=True):
-    """Hold what tells how this entry stands to store and other entries."""
+class PeerSyncSources(msgspec.Struct, frozen=True):
+    """Bundle the store, its status and the other entries for PeerSync."""
 
     store: StorePort
-    contact: StoreContact
+    store_status: StoreStatus
     members: Members
 
 
-class Peers:
-    """Know the other entries, ask them and answer them."""
+class PeerSync:
+    """Send and serve sync requests; keep the store's list of entries."""
 
     def __init__(
         self,
         settings: DirectSettings,
-        ties: PeerTies,
-        world: ClusterState,
+        sources: PeerSyncSources,
+        cluster: ClusterState,
     ) -> None:
-        """Take what lists entries and what is to be told."""
+        """Serve requests from ``cluster`` and apply responses to it."""
         self._settings = settings
-        self._store = ties.store
-        self._contact = ties.contact
-        self._members = ties.members
-        self._world = world
+        self._store = sources.store
+        self._store_status = sources.store_status
+        self._members = sources.members
+        self._cluster = cluster
         self._random = random.Random()
 
     def apply_settings(self, settings: DirectSettings) -> None:
-        """Take changed settings."""
+        """Use reloaded settings for the requests that follow."""
         self._settings = settings
 
     async def run(self) -> None:
-        """Keep the list of entries and ask them when need be, for good."""
+        """Register, follow the list and request updates until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._register)
             nursery.start_soon(self._follow_list)
-            await self._ask_on()
+            await self._request_updates()
 
     async def serve(self, stream: trio.SocketStream) -> None:
-        """Answer the questions of one connection."""
+        """Serve the one sync request of a connection, then close it."""
         async with stream:
             try:
-                with move_on_after(ASK_TIMEOUT_MS):
-                    await self._answer(stream)
-            except _BROKEN as error:
-                _log.warning('question failed', cause=str(error))
+                with move_on_after(SYNC_TIMEOUT_MS):
+                    await self._respond(stream)
+            except _SYNC_ERRORS as error:
+                _log.warning('sync request not served', cause=str(error))
 
     async def _register(self) -> None:
-        """Write this entry's record until the store has taken it."""
+        """Write this entry's record, with retries until the store accepts."""
         key = self._settings.host
         while True:
             payload = self._settings.name.encode()
-            failed = await self._store.write(Topic.ENTRIES, key, payload)
-            if failed is None:
+            failure = await self._store.write(Topic.ENTRIES, key, payload)
+            if failure is None:
                 return
-            await sleep(REGISTER_AGAIN_MS)
+            await sleep(REGISTER_RETRY_MS)
 
     async def _follow_list(self) -> None:
         while True:
-            listed = await self._store.read_snapshot(Topic.ENTRIES)
-            if isinstance(listed, Snapshot):
-                self._members.take_listed(
-                    record.key for record in listed.records
+            snapshot = await self._store.read_snapshot(Topic.ENTRIES)
+            if isinstance(snapshot, Snapshot):
+                self._members.replace_listed(
+                    record.key for record in snapshot.records
                 )
-                await self._strike_lost()
+                await self._drop_lost_records()
             await sleep(LIST_INTERVAL_MS * self._random.uniform(0.5, 1))
 
-    async def _strike_lost(self) -> None:
-        """Drop the records of hosts that have long been silent.
+    async def _drop_lost_records(self) -> None:
+        """Drop the records of lost hosts if this entry is the leader.
 
-        Where one of them can be reached again, it is heard without a record.
+        An entry that becomes reachable again needs no record: its reports are
+        enough.
         """
-        if not self._members.check_lead():
+        if not self._members.check_leadership():
             return
-        for host in self._members.long_lost:
+        for host in self._members.lost_hosts:
             await self._store.write(Topic.ENTRIES, host, b'')
             _log.info('record of a lost entry dropped', peer=host)
 
-    async def _ask_on(self) -> None:
+    async def _request_updates(self) -> None:
         while True:
-            await sleep(ASK_INTERVAL_MS)
-            newer = self._world.newer
+            await sleep(SYNC_INTERVAL_MS)
+            newer = self._cluster.newer_version
             if newer is not None and self._is_overdue(newer):
-                await self._ask(newer.host)
-                self._world.forget_newer()
-            elif self._lacks_news():
-                await self._ask_any()
+                await self._sync_with(newer.host)
+                self._cluster.clear_newer_version()
+            elif self._needs_peers():
+                await self._sync_with_any()
 
-    def _lacks_news(self) -> bool:
-        """Tell whether the store gives this entry nothing or not enough."""
-        silent = self._contact.silent_ms > SILENCE_MS
-        return self._contact.lost or silent or not self._world.complete
+    def _needs_peers(self) -> bool:
+        """Tell whether the store fails or this entry's state is incomplete."""
+        silent = self._store_status.silent_ms > STORE_SILENCE_MS
+        return self._store_status.lost or silent or not self._cluster.complete
 
-    async def _ask_any(self) -> None:
+    async def _sync_with_any(self) -> None:
         hosts = sorted(self._members.hosts)
         if hosts:
-            await self._ask(self._random.choice(hosts))
+            await self._sync_with(self._random.choice(hosts))
 
     def _is_overdue(self, newer: NewerVersion) -> bool:
-        """Tell whether the store should have told of a version by now."""
-        return self._contact.clock.now() - newer.noted_at > OVERDUE_MS
+        """Tell whether the store should have delivered a version by now."""
+        return self._store_status.clock.now() - newer.first_seen_at > OVERDUE_MS
 
-    async def _ask(self, host: str) -> None:
-        cause = 'no answer in time'
+    async def _sync_with(self, host: str) -> None:
+        cause = 'no response in time'
         try:
-            with move_on_after(ASK_TIMEOUT_MS):
-                news = await self._exchange(host)
-                self._take(news, host)
+            with move_on_after(SYNC_TIMEOUT_MS):
+                response = await self._exchange(host)
+                self._apply_response(response, host)
                 return
-        except _BROKEN as error:
+        except _SYNC_ERRORS as error:
             cause = str(error)
-        _log.info('peer not asked', peer=host, cause=cause)
+        _log.info('sync with entry failed', peer=host, cause=cause)
 
     async def _exchange(self, host: str) -> SyncResponse:
         port = self._settings.peer_port
         async with await trio.open_tcp_stream(host, port) as stream:
-            await send_message(stream, encode_message(self._question()))
+            await send_message(stream, encode_message(self._make_request()))
             payload = await receive_message(stream)
-            return decode_news(payload or b'')
+            return decode_sync_response(payload or b'')
 
-    async def _answer(self, stream: trio.SocketStream) -> None:
+    async def _respond(self, stream: trio.SocketStream) -> None:
         payload = await receive_message(stream)
         if payload is not None:
-            news = self._news_for(decode_ask(payload))
-            await send_message(stream, encode_message(news))
+            response = self._make_response(decode_sync_request(payload))
+            await send_message(stream, encode_message(response))
 
-    def _question(self) -> SyncRequest:
-        known = {
+    def _make_request(self) -> SyncRequest:
+        versions = {
             record.name: RecordVersion(
                 record.started_at,
                 record.sequence,
                 record.state.value,
             )
-            for record in self._world.directory.records()
+            for record in self._cluster.directory.records()
         }
-        return SyncRequest(self._world.version, known)
+        return SyncRequest(self._cluster.version, versions)
 
-    def _news_for(self, ask: SyncRequest) -> SyncResponse:
-        deployment = self._world.deployment
+    def _make_response(self, request: SyncRequest) -> SyncResponse:
+        deployment = self._cluster.deployment
         configuration = b''
-        if deployment is not None and deployment.version > ask.version:
-            configuration = deployment.text
+        if deployment is not None and deployment.version > request.version:
+            configuration = deployment.payload
         return SyncResponse(
             configuration,
             {
-                record.name: record.text
-                for record in self._world.directory.records()
-                if _is_news(record, ask.upstreams.get(record.name))
+                record.name: record.payload
+                for record in self._cluster.directory.records()
+                if _is_update(record, request.upstreams.get(record.name))
             },
             [
                 RemovedUpstream(name, *order_key)
-                for name, order_key in self._world.directory.gone()
-                if name in ask.upstreams
+                for name, order_key in self._cluster.directory.removed()
+                if name in request.upstreams
             ],
         )
 
-    def _take(self, news: SyncResponse, host: str) -> None:
-        if news.configuration:
-            self._world.take_deployment(news.configuration, host)
-        for name, payload in news.upstreams.items():
-            self._world.take_upstream(StoreRecord(name, payload), host)
-        for gone in news.gone:
-            order_key = (gone.started_at, gone.sequence)
-            self._world.directory.remove_until(gone.name, order_key, host)
+    def _apply_response(self, response: SyncResponse, host: str) -> None:
+        if response.configuration:
+            self._cluster.apply_deployment(response.configuration, host)
+        for name, payload in response.upstreams.items():
+            self._cluster.apply_upstream(StoreRecord(name, payload), host)
+        for removed in response.removed:
+            order_key = (removed.started_at, removed.sequence)
+            self._cluster.directory.remove_until(removed.name, order_key, host)
 
 
-def _is_news(record: UpstreamRecord, known: RecordVersion | None) -> bool:
+def _is_update(record: UpstreamRecord, known: RecordVersion | None) -> bool:
+    """Tell whether a record matters to an entry that has another or none.
+
+    A later record with the same start and state is left out.
+    """
     if known is None:
         return True
     if record.order_key <= (known.started_at, known.sequence):
--- a/src/amaranthrail/direct/ports.py
+++ b/src/amaranthrail/direct/ports.py
@@ -1,4 +1,4 @@
-"""Declare what a direct entry needs from the platform that it runs on."""
+"""Declare the store interface and the formats that a platform provides."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Topic(Enum):
-    """Name the keyed topics of the store that an entry uses."""
+    """Identify the store's keyed topics that an entry uses."""
 
     CONFIGURATION = 'configuration'
     UPSTREAMS = 'upstreams'
@@ -23,28 +23,28 @@
 
 
 class StoreRecord(msgspec.Struct, frozen=True):
-    """Hold one record of a topic; without a payload its key is gone."""
+    """Hold one record of a topic; None as payload removes its key."""
 
     key: str
     payload: bytes | None
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """Hold the newest record of each key, as of an end offset."""
+    """Hold the newest record of each key and the offset to read next."""
 
     records: tuple[StoreRecord, ...]
     end: int
 
 
 class Changes(msgspec.Struct, frozen=True):
-    """Hold the records from an offset on, and the offset after the last."""
+    """Hold the records from an offset on and the offset to read next."""
 
     records: tuple[StoreRecord, ...]
     end: int
 
 
 class StoreFailure(Enum):
-    """Say why the store gave nothing."""
+    """State why a call to the store failed."""
 
     UNREACHABLE = 'unreachable'
     REFUSED = 'refused'
@@ -56,7 +56,7 @@
     """Read and write the keyed topics of the platform's store."""
 
     async def read_snapshot(self, topic: Topic) -> Snapshot | StoreFailure:
-        """Return the newest record of each key."""
+        """Return the newest record of each key and the end offset."""
 
     async def read_changes(
         self,
@@ -64,7 +64,10 @@
         offset: int,
         wait_ms: int,
     ) -> Changes | StoreFailure:
-        """Return what follows an offset, waiting for it a while."""
+        """Return the records from an offset on.
+
+        The store holds the read up to ``wait_ms`` until there is one.
+        """
 
     async def write(
         self,
@@ -72,17 +75,18 @@
         key: str,
         payload: bytes,
     ) -> StoreFailure | None:
-        """Append a record; a failure leaves open whether it was.
+        """Append a record; after a failure it may have been appended or not.
 
-        An empty payload drops the key.
+        An empty payload removes the key.
         """
 
 
 class RequestMetadata(msgspec.Struct, frozen=True):
-    """Hold what the headers of a caller's request say.
+    """Hold what an entry reads from the headers of a caller's request.
 
-    ``expected_tokens`` is the caller's estimate of the answer's length, often
-    far off, and 0 where there is none.
+    ``timeout_ms`` is the time left until the caller's deadline.
+    ``expected_tokens`` is its estimate of the response's length, often far off,
+    and 0 where there is none.
     """
 
     attempt_id: str
@@ -93,7 +97,7 @@
 
 
 class ReportedLoad(msgspec.Struct, frozen=True):
-    """Hold the load that an upstream states in an answer's headers."""
+    """Hold the load that an upstream reports in a response, in calls."""
 
     running: int
     waiting: int
@@ -101,10 +105,11 @@
 
 
 class ResponseMetadata(msgspec.Struct, frozen=True):
-    """Hold what the headers of an upstream's answer say.
+    """Hold what an entry reads from the headers of a response.
 
-    ``not_executed`` is the proof that the call has not run, ``replaced`` says
-    that another upstream has the address by now.
+    ``not_executed`` is proof that the call has not run, ``replaced`` says that
+    the address now belongs to another upstream, and ``encoded`` that the body
+    has a content encoding.
     """
 
     attempt_id: str | None
@@ -116,7 +121,7 @@
 
 
 class ForwardingFields(msgspec.Struct, frozen=True):
-    """Hold what an entry adds to a request that it passes on."""
+    """Hold what an entry adds to the headers of a forwarded request."""
 
     upstream: str
     remaining_ms: Millis
@@ -126,10 +131,11 @@
 
 
 class WireFormat(msgspec.Struct, frozen=True):
-    """Bundle what translates the platform's formats.
+    """Bundle the functions that read and write the platform's formats.
 
-    ``configuration_key`` is the key of the configuration in its topic. What
-    reads a record returns a sentence instead where the record is not valid.
+    ``configuration_key`` is the key of the configuration in its topic.
+    ``read_deployment`` and ``read_upstream`` return an error message instead
+    where the record is not valid.
     """
 
     configuration_key: str
--- a/src/amaranthrail/direct/relay.py
+++ b/src/amaranthrail/direct/relay.py
@@ -1,4 +1,4 @@
-"""Relay event streams, whole events only, from one upstream or several."""
+"""Relay an event stream in whole events from one or more upstreams."""
 
 from __future__ import annotations
 
@@ -14,101 +14,118 @@
 from .steptimes import StepTimes
 from .streams import EventSplitter
 
-#: Makes what bounds one wait for an upstream; it swallows the end of a wait.
-Patience = Callable[[], AbstractContextManager[None]]
+#: Makes a context manager for one wait for an upstream. It may cancel the wait
+#: and suppresses the cancellation.
+StallGuardFactory = Callable[[], AbstractContextManager[None]]
 
 
 class StreamRelay:
-    """Carry one caller's stream over the attempts that make it up.
+    """Relay one caller's stream across the attempts that produce it.
 
-    The head is that of the first attempt; a later one goes on after the last
-    whole event that the caller has got.
+    The response head is that of the first attempt; a later attempt resumes
+    after the last whole event that the caller has received.
     """
 
     def __init__(
         self,
         reply: Reply,
         last_id: str | None,
-        pace: StreamTiming,
-        engines: StepTimes,
-        patience: Patience,
+        timing: StreamTiming,
+        step_times: StepTimes,
+        make_stall_guard: StallGuardFactory,
     ) -> None:
-        """Take where the stream goes and the id that it begins after.
+        """Relay to ``reply``, starting after the event ``last_id``.
 
-        ``engines`` is told of each pause between events, ``patience`` bounds
-        each wait for one.
+        Gaps between events are recorded in ``step_times``; each wait for an
+        upstream runs inside a guard from ``make_stall_guard``.
         """
         self._reply = reply
         self._splitter = EventSplitter(last_id)
-        self._pace = pace
-        self._engines = engines
-        self._patience = patience
+        self._timing = timing
+        self._step_times = step_times
+        self._make_stall_guard = make_stall_guard
         self._clock = Clock()
 
     @property
-    def pace(self) -> StreamTiming:
-        """Return when events came."""
-        return self._pace
+    def timing(self) -> StreamTiming:
+        """Return the arrival times of the stream's events."""
+        return self._timing
 
     @property
     def last_id(self) -> str | None:
-        """Return the id of the last event that the caller has."""
+        """Return the id of the last event that the caller has received."""
         return self._splitter.last_id
 
     @property
     def events(self) -> int:
-        """Return how many events have been passed on."""
+        """Return how many whole events have been relayed."""
         return self._splitter.events
 
-    def patience(self) -> AbstractContextManager[None]:
-        """Return what bounds one wait for the upstream."""
-        return self._patience()
+    def make_stall_guard(self) -> AbstractContextManager[None]:
+        """Return a guard for one wait for the upstream."""
+        return self._make_stall_guard()
 
-    async def take(
+    async def relay_response(
         self,
         exchange: HttpExchange,
         headers: HeaderList,
-        note_heard: Callable[[], None],
+        record_activity: Callable[[], None],
     ) -> Failure | None:
-        """Pass on a stream to its end; return why it was cut, if it was."""
+        """Relay a response to its end; return why it was cut, if it was.
+
+        ``record_activity`` is called for each part that arrives.
+        """
         try:
             async with aclosing(exchange.parts()) as parts:
-                part = await self._next(parts)
+                part = await self._next_part(parts)
                 while part is not None:
-                    note_heard()
-                    await self._pass_on(exchange.status, headers, part)
-                    part = await self._next(parts)
+                    record_activity()
+                    await self._relay_part(exchange.status, headers, part)
+                    part = await self._next_part(parts)
         except (HttpError, ValueError) as error:
-            self._splitter.forget_torn()
-            return Failure(f'stream cut: {error}', ran=True, arrived=True)
-        if self._splitter.torn:
-            self._splitter.forget_torn()
-            return Failure('stream ended in an event', ran=True, arrived=True)
+            self._splitter.discard_partial()
+            return Failure(
+                f'stream cut: {error}',
+                may_have_run=True,
+                delivered=True,
+            )
+        if self._splitter.has_partial:
+            self._splitter.discard_partial()
+            return Failure(
+                'stream ended within an event',
+                may_have_run=True,
+                delivered=True,
+            )
         if not self._reply.started:
             await self._reply.start(exchange.status, headers)
         await self._reply.finish()
         return None
 
-    async def _next(self, parts: AsyncIterator[bytes]) -> bytes | None:
-        """Return the next bytes, None at the end. Raises HttpError."""
-        # Only the wait for the upstream is ended by the watch, never a write.
-        with self.patience():
+    async def _next_part(self, parts: AsyncIterator[bytes]) -> bytes | None:
+        """Return the next bytes, None at the end.
+
+        Raises HttpError where the stall guard cancels the wait.
+        """
+        # The guard covers only the wait for the upstream, never a write.
+        with self.make_stall_guard():
             return await anext(parts, None)
-        raise HttpError('no event has come', sent=True)
+        raise HttpError('upstream sent no event in time', sent=True)
 
-    async def _pass_on(
+    async def _relay_part(
         self,
         status: int,
         headers: HeaderList,
         part: bytes,
     ) -> None:
-        known = self._splitter.events
+        events_before = self._splitter.events
         events = self._splitter.feed(part)
         if not events:
             return
-        gap_ms = self._pace.note(self._clock.now())
+        gap_ms = self._timing.record_events(self._clock.now())
         if gap_ms is not None:
-            self._engines.note(gap_ms / (self._splitter.events - known))
+            self._step_times.record_gap(
+                gap_ms / (self._splitter.events - events_before),
+            )
         if not self._reply.started:
             await self._reply.start(status, headers)
         await self._reply.part(events)
--- a/src/amaranthrail/direct/retrybudgets.py
+++ b/src/amaranthrail/direct/retrybudgets.py
@@ -1,4 +1,4 @@
-"""Keep the repeat budget of each service."""
+"""Bound the retries to each service."""
 
 from __future__ import annotations
 
@@ -11,42 +11,45 @@
 
 
 class RetryBudgets:
-    """Count calls and repeats by service."""
+    """Keep one retry budget per service, created at its first call."""
 
     def __init__(
         self,
-        bounds: RetryBudgetLimits,
+        limits: RetryBudgetLimits,
         clock: Clock,
-        entries: Callable[[], int],
+        entry_count: Callable[[], int],
     ) -> None:
-        """Take the bounds for all entries and how many there may be."""
-        self._bounds = bounds
+        """Share ``limits`` evenly among as many entries as may be running."""
+        self._limits = limits
         self._clock = clock
-        self._entries = entries
+        self._entry_count = entry_count
         self._budgets: dict[ServiceName, RepeatBudget] = {}
 
-    def take_bounds(self, bounds: RetryBudgetLimits) -> None:
-        """Put changed bounds in force; counts begin anew with them."""
-        if bounds != self._bounds:
-            self._bounds = bounds
+    def apply_limits(self, limits: RetryBudgetLimits) -> None:
+        """Put changed limits in force; all counts restart at zero then."""
+        if limits != self._limits:
+            self._limits = limits
             self._budgets.clear()
 
-    def note_call(self, service: ServiceName) -> None:
-        """Count a call that a caller sent."""
+    def record_call(self, service: ServiceName) -> None:
+        """Count a caller's request, from which the budget grows."""
         self._budget(service).note_call(self._clock.now())
 
     def spend(self, service: ServiceName) -> bool:
-        """Count a repeat if one is left; tell whether it was."""
-        return self._budget(service).spend(self._clock.now(), self._entries())
+        """Take a retry from a service's budget; return whether one was left."""
+        return self._budget(service).spend(
+            self._clock.now(),
+            self._entry_count(),
+        )
 
     def _budget(self, service: ServiceName) -> RepeatBudget:
         budget = self._budgets.get(service)
         if budget is None:
-            bounds = self._bounds
+            limits = self._limits
             budget = RepeatBudget(
-                bounds.ratio,
-                bounds.slack,
-                bounds.window_ms,
+                limits.ratio,
+                limits.slack,
+                limits.window_ms,
             )
             self._budgets[service] = budget
         return budget
--- a/src/amaranthrail/direct/service.py
+++ b/src/amaranthrail/direct/service.py
@@ -1,4 +1,4 @@
-"""Run a direct entry: wire its parts, serve callers, leave in order."""
+"""Assemble a direct entry and run it until its graceful shutdown ends."""
 
 from __future__ import annotations
 
@@ -21,159 +21,163 @@
 from ..logs import part_logger
 from ..metrics import Metrics
 from ..ranks.keeper import MakeRank, MapKeeper
-from .attempt import Attempts
-from .callers import Callers
+from .attempt import AttemptSender
+from .callers import CallerHandler
 from .calllog import CallLog
 from .clusterstate import ClusterState
 from .deployment import CallerLimits
 from .forward import Forwarder, ForwarderSettings
 from .loads import ReportExchange, SharedLoads
 from .members import Members
-from .peers import Peers, PeerTies
+from .peers import PeerSync, PeerSyncSources
 from .ports import StorePort, Topic, WireFormat
 from .retrybudgets import RetryBudgets
 from .settings import DirectSettings
 from .shutdown import GracefulShutdown
 from .stalls import StallDetector
 from .sync import (
-    StoreContact,
+    StoreStatus,
     TopicFollower,
     UpstreamSync,
     follow_configuration,
 )
 
-#: Time from the signal to stop until idle connections close, in ms: the
-#: balancer sends new ones until it has missed two probes, a second apart.
-LINGER_MS = 2500.0
-_CHECK_MS = 20.0
+#: Time from the signal to stop until idle connections are closed, in ms: the
+#: balancer opens new ones until two probes, a second apart, have failed.
+IDLE_CLOSE_DELAY_MS = 2500.0
+_EXIT_CHECK_INTERVAL_MS = 20.0
 _PROBE_BODY_BYTES = 1024
 _log = part_logger('entry')
 
 
 class DirectEntry:
-    """Own the parts of one direct entry."""
+    """Create the components of one direct entry and run their tasks."""
 
     def __init__(
         self,
         settings: DirectSettings,
         store: StorePort,
-        dialect: WireFormat,
+        wire_format: WireFormat,
         make_rank: MakeRank,
     ) -> None:
-        """Take the settings and what speaks the platform's language."""
+        """Use a platform's store, wire format and client for ranks."""
         self._settings = settings
-        self._dialect = dialect
+        self._wire_format = wire_format
         self._clock = Clock()
         self._metrics = Metrics()
-        self._world = ClusterState(self._clock, dialect)
-        self._contact = StoreContact(self._clock)
+        self._cluster = ClusterState(self._clock, wire_format)
+        self._store_status = StoreStatus(self._clock)
         self._members = Members(settings.host, self._clock)
-        self._members.take_seeds(settings.seeds)
-        self._peers = Peers(
+        self._members.replace_seeds(settings.seeds)
+        self._peer_sync = PeerSync(
             settings,
-            PeerTies(store, self._contact, self._members),
-            self._world,
+            PeerSyncSources(store, self._store_status, self._members),
+            self._cluster,
         )
-        self._configuration = TopicFollower(
+        self._configuration_follower = TopicFollower(
             store,
             Topic.CONFIGURATION,
-            self._contact,
+            self._store_status,
         )
-        self._upstreams = UpstreamSync(
-            TopicFollower(store, Topic.UPSTREAMS, self._contact),
-            self._world,
-            self._contact,
+        self._upstream_sync = UpstreamSync(
+            TopicFollower(store, Topic.UPSTREAMS, self._store_status),
+            self._cluster,
+            self._store_status,
         )
-        self._repeats = RetryBudgets(
+        self._retry_budgets = RetryBudgets(
             settings.retry_limits,
             self._clock,
             lambda: self._members.count,
         )
         self._loads = SharedLoads(self._clock)
-        self._watch = StallDetector(self._clock)
-        self._exchange = ReportExchange(
+        self._stalls = StallDetector(self._clock)
+        self._report_exchange = ReportExchange(
             settings,
-            self._world,
+            self._cluster,
             self._loads,
             self._members,
         )
         self._maps = MapKeeper(
-            self._world,
-            self._members.check_lead,
+            self._cluster,
+            self._members.check_leadership,
             make_rank,
             self._clock,
         )
-        self._state = ServerState(self._limits)
-        self._departure = GracefulShutdown(self._contact, self._members)
-        self._stopping = trio.Event()
+        self._server_state = ServerState(self._limits)
+        self._shutdown = GracefulShutdown(self._store_status, self._members)
+        self._stop_requested = trio.Event()
 
     @property
     def settings(self) -> DirectSettings:
-        """Return the settings in force."""
+        """Return the settings in force, after the latest reload."""
         return self._settings
 
     @property
     def cluster_state(self) -> ClusterState:
-        """Return what the entry knows."""
-        return self._world
+        """Return the entry's view of configuration and upstreams."""
+        return self._cluster
 
     @property
     def is_leader(self) -> bool:
-        """Tell whether this entry leads the expert maps."""
-        return self._members.check_lead()
+        """Tell whether this entry is leader of the expert maps."""
+        return self._members.check_leadership()
 
     @property
     def ready(self) -> bool:
-        """Tell whether new callers should come here."""
-        return self._world.complete and not self._stopping.is_set()
+        """Tell whether the balancer should send new callers to this entry."""
+        return self._cluster.complete and not self._stop_requested.is_set()
 
     @property
     def store_lost(self) -> bool:
-        """Tell whether the store did not answer the latest call."""
-        return self._contact.lost
+        """Tell whether the latest call to the store failed."""
+        return self._store_status.lost
 
     def stop(self) -> None:
-        """Begin to leave."""
-        self._stopping.set()
+        """Request the graceful shutdown; run() returns once it is done."""
+        self._stop_requested.set()
 
     def apply_settings(self, settings: DirectSettings) -> None:
-        """Put changed settings in force; addresses wait for the next start."""
+        """Put changed settings in force; new addresses need a restart."""
         if settings == self._settings:
             return
         self._settings = settings
-        self._members.take_seeds(settings.seeds)
-        self._peers.apply_settings(settings)
-        self._repeats.take_bounds(settings.retry_limits)
+        self._members.replace_seeds(settings.seeds)
+        self._peer_sync.apply_settings(settings)
+        self._retry_budgets.apply_limits(settings.retry_limits)
         _log.info('settings reloaded', entry=settings.name)
 
     async def run(self) -> None:
-        """Serve until stopped and until the last answer has gone out."""
+        """Serve until stop() is called and the shutdown is done."""
         settings = self._settings
         probes = await open_listeners(settings.probes, 'probes')
-        peers = await self._listen_inside(settings.peer_port)
-        metrics = await self._listen_inside(settings.metrics_port)
+        peers = await self._listen_internal(settings.peer_port)
+        metrics = await self._listen_internal(settings.metrics_port)
         callers = await open_listeners(settings.callers, 'callers')
         _log.info('started', entry=settings.name, domain=settings.domain)
         async with trio.open_nursery() as nursery:
             for task in (
-                partial(follow_configuration, self._configuration, self._world),
-                self._upstreams.run,
-                self._peers.run,
-                self._exchange.run,
-                self._watch.run,
+                partial(
+                    follow_configuration,
+                    self._configuration_follower,
+                    self._cluster,
+                ),
+                self._upstream_sync.run,
+                self._peer_sync.run,
+                self._report_exchange.run,
+                self._stalls.run,
                 self._maps.run,
-                partial(trio.serve_listeners, self._peers.serve, peers),
-                partial(self._serve_inside, probes, self._answer_probe),
-                partial(self._serve_inside, metrics, self._answer_metrics),
+                partial(trio.serve_listeners, self._peer_sync.serve, peers),
+                partial(self._serve_internal, probes, self._answer_probe),
+                partial(self._serve_internal, metrics, self._answer_metrics),
                 partial(self._serve_callers, callers),
             ):
                 nursery.start_soon(task)
-            await self._stopping.wait()
-            await self._leave()
+            await self._stop_requested.wait()
+            await self._shut_down()
             nursery.cancel_scope.cancel()
         _log.info('ended')
 
-    async def _listen_inside(self, port: int) -> list[trio.SocketListener]:
+    async def _listen_internal(self, port: int) -> list[trio.SocketListener]:
         address = Address(self._settings.host, port)
         return await open_listeners(address, 'peer_port')
 
@@ -181,40 +185,40 @@
         self,
         listeners: list[trio.SocketListener],
     ) -> None:
-        journal = CallLog(self._clock, self._metrics)
+        call_log = CallLog(self._clock, self._metrics)
         forwarder = Forwarder(
-            self._world,
-            Attempts(
+            self._cluster,
+            AttemptSender(
                 self._clock,
-                self._dialect,
-                self._world.directory,
+                self._wire_format,
+                self._cluster.directory,
             ),
-            self._repeats,
-            journal,
+            self._retry_budgets,
+            call_log,
             ForwarderSettings(
                 self._settings.domain,
                 self._loads,
-                self._watch,
-                self._dialect.refusal_headers,
+                self._stalls,
+                self._wire_format.refusal_headers,
             ),
         )
-        callers = Callers(
-            self._world,
-            self._dialect,
+        callers = CallerHandler(
+            self._cluster,
+            self._wire_format,
             forwarder,
-            journal,
-            self._departure,
+            call_log,
+            self._shutdown,
         )
         await trio.serve_listeners(
             partial(
                 serve_connection,
                 handler=callers.handle,
-                state=self._state,
+                state=self._server_state,
             ),
             listeners,
         )
 
-    async def _serve_inside(
+    async def _serve_internal(
         self,
         listeners: list[trio.SocketListener],
         handler: Handler,
@@ -234,7 +238,7 @@
         await send_metrics(reply, self._metrics)
 
     def _limits(self) -> ServerLimits:
-        deployment = self._world.deployment
+        deployment = self._cluster.deployment
         limits = CallerLimits()
         if deployment is not None:
             limits = deployment.limits
@@ -245,18 +249,21 @@
             header_timeout_ms=limits.header_timeout_ms,
         )
 
-    async def _leave(self) -> None:
-        _log.info('leaving', active=self._state.active)
-        began = self._clock.now()
-        last = self._departure.begin(self._settings.shutdown_ms)
-        self._state.announce_close()
-        await sleep(began + LINGER_MS - self._clock.now())
-        self._state.close()
-        while self._clock.now() < last:
-            if self._departure.may_end(self._state.active):
+    async def _shut_down(self) -> None:
+        _log.info('leaving', active=self._server_state.active)
+        began_at = self._clock.now()
+        deadline = self._shutdown.begin(self._settings.shutdown_ms)
+        self._server_state.announce_close()
+        await sleep(began_at + IDLE_CLOSE_DELAY_MS - self._clock.now())
+        self._server_state.close()
+        while self._clock.now() < deadline:
+            if self._shutdown.can_exit(self._server_state.active):
                 break
-            await sleep(_CHECK_MS)
-        with move_on_after(last - self._clock.now()):
+            await sleep(_EXIT_CHECK_INTERVAL_MS)
+        with move_on_after(deadline - self._clock.now()):
             await self._maps.finish()
-        if self._state.active:
-            _log.warning('calls cut at the end', active=self._state.active)
+        if self._server_state.active:
+            _log.warning(
+                'calls cut off at shutdown deadline',
+                active=self._server_state.active,
+            )
--- a/src/amaranthrail/direct/settings.py
+++ b/src/amaranthrail/direct/settings.py
@@ -1,4 +1,4 @@
-"""Hold the settings of one direct entry."""
+"""Define the settings of one direct entry."""
 
 from __future__ import annotations
 
@@ -9,7 +9,11 @@
 
 
 class RetryBudgetLimits(msgspec.Struct, frozen=True):
-    """Bound repeats to a service, over all entries together."""
+    """Bound the retries to a service, over all entries together.
+
+    In any window of ``window_ms``, they are at most ``ratio`` of the service's
+    calls, plus ``slack``.
+    """
 
     ratio: float
     slack: float
@@ -17,12 +21,12 @@
 
 
 class DirectSettings(msgspec.Struct, frozen=True):
-    """Hold where an entry listens, whom it knows and what bounds it.
+    """Hold an entry's addresses, its peers' hosts and its limits.
 
-    ``peer_port`` is the port on which all entries talk to each other,
-    ``metrics_port`` the one that serves metrics. ``seeds`` are hosts that may
-    run an entry. ``shutdown_ms`` is the time from the signal to stop until the
-    process is killed.
+    ``peer_port`` is the port for messages between entries, the same on every
+    host; ``metrics_port`` is the one that serves metrics. ``seeds`` are hosts
+    that may run an entry. ``shutdown_ms`` is the time from the signal to stop
+    until the process is killed.
     """
 
     name: str
--- a/src/amaranthrail/direct/shutdown.py
+++ b/src/amaranthrail/direct/shutdown.py
@@ -1,4 +1,4 @@
-"""Remember since when an entry leaves, and decide what it still does."""
+"""Decide which calls an entry accepts and finishes during its shutdown."""
 
 from __future__ import annotations
 
@@ -6,40 +6,40 @@
 from ..types import Millis
 from .call import Call
 from .members import Members
-from .sync import StoreContact
+from .sync import StoreStatus
 
 
 class GracefulShutdown:
-    """Tell which calls are still taken, and when the process may end."""
+    """Apply the shutdown policy to calls and to the end of the process."""
 
-    def __init__(self, contact: StoreContact, members: Members) -> None:
-        """Take what is known of the store and of the other entries."""
-        self._contact = contact
+    def __init__(self, store_status: StoreStatus, members: Members) -> None:
+        """Accept every call until begin() is called."""
+        self._store_status = store_status
         self._members = members
-        self._clock = contact.clock
+        self._clock = store_status.clock
         self._shutdown_ms = Millis(0)
         self._began_at: Millis | None = None
 
     def begin(self, shutdown_ms: Millis) -> float:
-        """Note the signal to stop; return by when all calls must have ended.
+        """Start the shutdown; return the clock time by which calls must end.
 
-        ``shutdown_ms`` is the time until the process is killed.
+        ``shutdown_ms`` is the time from now until the process is killed.
         """
-        self._members.leave()
+        self._members.begin_shutdown()
         self._shutdown_ms = shutdown_ms
         self._began_at = self._clock.now()
         return self._began_at + FINISH_SHARE * shutdown_ms
 
-    def may_end(self, active: int) -> bool:
-        """Tell whether the process may end, with so many calls in progress."""
+    def can_exit(self, active: int) -> bool:
+        """Tell whether the process may exit with ``active`` calls."""
         return may_end(
             active=active,
-            store_lost=self._contact.lost,
-            successors=self._members.successors,
+            store_lost=self._store_status.lost,
+            successors=self._members.successor_count,
         )
 
-    def takes(self, call: Call) -> bool:
-        """Tell whether a call is taken now."""
+    def accepts(self, call: Call) -> bool:
+        """Tell whether a call that arrives now can be finished in time."""
         if self._began_at is None:
             return True
         return takes_call(
--- a/src/amaranthrail/direct/stalls.py
+++ b/src/amaranthrail/direct/stalls.py
@@ -1,4 +1,4 @@
-"""Watch streams that wait for their upstream."""
+"""Cancel streams' waits for an upstream that has stalled."""
 
 from __future__ import annotations
 
@@ -12,53 +12,58 @@
 from ..policy.silence import is_alone
 from .steptimes import StepTimes
 
-#: Time between two looks at all streams, in ms: a fifth of the silence that is
-#: borne.
-LOOK_INTERVAL_MS = 200.0
+#: Interval between checks of all waiting streams, in ms: a fifth of the silence
+#: that is tolerated.
+CHECK_INTERVAL_MS = 200.0
 
 
-class _Wait(msgspec.Struct, frozen=True):
+class _GuardedWait(msgspec.Struct, frozen=True):
     since: float
-    engines: StepTimes
-    may_leave: Callable[[], bool]
+    step_times: StepTimes
+    reserve_switch: Callable[[], bool]
 
 
 class StallDetector:
-    """End the waits of streams that alone have fallen silent."""
+    """Cancel waits of streams that are silent while others are not."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start without streams."""
+        """Start without waits; they are checked only while run() runs."""
         self._clock = clock
-        self._waits: dict[trio.CancelScope, _Wait] = {}
+        self._waits: dict[trio.CancelScope, _GuardedWait] = {}
 
     @contextmanager
-    def wait(
+    def guard(
         self,
-        engines: StepTimes,
-        may_leave: Callable[[], bool],
+        step_times: StepTimes,
+        reserve_switch: Callable[[], bool],
     ) -> Iterator[None]:
-        """End what is inside where only this stream is silent.
+        """Cancel the block where its stream alone is stalled.
 
-        ``may_leave`` tells whether the stream may go on elsewhere, and counts
-        that it does.
+        ``step_times`` are those of the stream's service. ``reserve_switch``
+        tells whether the stream may resume at another upstream, and takes a
+        retry for it if so.
         """
         with trio.CancelScope() as scope:
-            self._waits[scope] = _Wait(self._clock.now(), engines, may_leave)
+            self._waits[scope] = _GuardedWait(
+                self._clock.now(),
+                step_times,
+                reserve_switch,
+            )
             try:
                 yield
             finally:
                 del self._waits[scope]
 
     async def run(self) -> None:
-        """Look at all streams again and again, for good."""
+        """Check all waits at a fixed interval until cancelled."""
         while True:
-            await sleep(LOOK_INTERVAL_MS)
+            await sleep(CHECK_INTERVAL_MS)
             now = self._clock.now()
             for scope, wait in self._waits.items():
-                if _is_alone(wait, now) and wait.may_leave():
+                if _is_stalled(wait, now) and wait.reserve_switch():
                     scope.cancel()
 
 
-def _is_alone(wait: _Wait, now: float) -> bool:
-    engines = wait.engines
-    return is_alone(now - wait.since, engines.pass_ms, engines.age_ms)
+def _is_stalled(wait: _GuardedWait, now: float) -> bool:
+    times = wait.step_times
+    return is_alone(now - wait.since, times.step_ms, times.age_ms)
--- a/src/amaranthrail/direct/streams.py
+++ b/src/amaranthrail/direct/streams.py
@@ -1,4 +1,4 @@
-"""Split event streams into whole events."""
+"""Split server-sent event streams into whole events."""
 
 from __future__ import annotations
 
@@ -6,32 +6,32 @@
 
 _EVENT_END = re.compile(rb'\r\n\r\n|\n\n|\r\r')
 _ID_LINE = re.compile(rb'^id:[ ]?([^\r\n]*)', re.MULTILINE)
-#: Bytes that one event may have; the users' largest have some 400.
+#: Largest event in bytes; the users' largest have some 400.
 MAX_EVENT_BYTES = 1_048_576
 
 
 class EventSplitter:
-    """Gather the bytes of a stream and give out events that are whole."""
+    """Buffer the bytes of a stream and return events once they are whole."""
 
     def __init__(self, last_id: str | None = None) -> None:
-        """Take the id after which the stream begins, if any."""
+        """Start after the event ``last_id``, or at the start of the stream."""
         self._pending = b''
         self._last_id = last_id
         self._events = 0
 
     @property
     def last_id(self) -> str | None:
-        """Return the id of the last whole event."""
+        """Return the id of the last whole event that had one."""
         return self._last_id
 
     @property
     def events(self) -> int:
-        """Return how many whole events there have been."""
+        """Return how many whole events have been returned."""
         return self._events
 
     @property
-    def torn(self) -> bool:
-        """Tell whether the stream has stopped in the middle of an event."""
+    def has_partial(self) -> bool:
+        """Tell whether the buffer holds the beginning of an event."""
         return bool(self._pending.strip())
 
     def feed(self, received: bytes) -> bytes:
@@ -42,19 +42,19 @@
         pending = self._pending + received
         end = 0
         for match in _EVENT_END.finditer(pending):
-            self._note(pending[end : match.end()])
+            self._count_event(pending[end : match.end()])
             end = match.end()
         self._pending = pending[end:]
         if len(self._pending) > MAX_EVENT_BYTES:
             raise ValueError(f'event is larger than {MAX_EVENT_BYTES} bytes')
         return pending[:end]
 
-    def forget_torn(self) -> None:
-        """Drop the begin of an event; another stream has it whole."""
+    def discard_partial(self) -> None:
+        """Drop a partial event; the next upstream sends the whole event."""
         self._pending = b''
 
-    def _note(self, event: bytes) -> None:
+    def _count_event(self, event: bytes) -> None:
         self._events += 1
-        found = _ID_LINE.findall(event)
-        if found:
-            self._last_id = found[-1].decode('latin-1')
+        ids = _ID_LINE.findall(event)
+        if ids:
+            self._last_id = ids[-1].decode('latin-1')
--- a/src/amaranthrail/direct/sync.py
+++ b/src/amaranthrail/direct/sync.py
@@ -14,35 +14,37 @@
     Topic,
 )
 
-#: Time that the store is asked to hold a read, in ms. A connection that went
-#: silent is noticed this long and a call's bound later, and news must be in
-#: force 5 s after that: 3 s until hosts count as in touch, and 2 s more.
+#: Time for which the store is asked to hold a read, in ms. A connection that
+#: went silent is detected after this time and a call's timeout, and updates
+#: must be in force 5 s after that: 3 s until hosts count as in contact, and 2 s
+#: more.
 READ_WAIT_MS = 3000
-#: Least time from one read of a topic to the next, in ms: calls are billed, and
-#: a change must be in force within two seconds.
+#: Least interval between reads of a topic, in ms: calls are billed, and a
+#: change must be in force within two seconds.
 READ_INTERVAL_MS = 400.0
-#: Time between attempts while the store gives nothing, in ms.
+#: Delay between retries while the store fails, in ms.
 RETRY_MS = 300.0
-#: The same while records that may have lapsed are waited for, in ms.
-SETTLING_WAIT_MS = 300
-#: Time after the store's return in which lapsed records come back, in ms: the
-#: platform states about two seconds.
-RETURN_MS = 2200.0
+#: Time for which the store is asked to hold a read while upstreams whose
+#: records expired may still register again, in ms.
+RECOVERY_WAIT_MS = 300
+#: Time after an outage of the store in which upstreams whose records expired
+#: register again, in ms: the platform states about two seconds.
+REREGISTRATION_MS = 2200.0
 
 
-class StoreContact:
-    """Remember when the store last answered and last failed to."""
+class StoreStatus:
+    """Track whether the store responds and since when."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start without contact."""
+        """Count the store as available until a call fails."""
         self._clock = clock
-        self._answered_at = clock.now()
-        self._regained_at: float | None = None
+        self._responded_at = clock.now()
+        self._recovered_at: float | None = None
         self._lost = False
 
     @property
     def clock(self) -> Clock:
-        """Return what its times are taken from."""
+        """Return the clock of all times in the status."""
         return self._clock
 
     @property
@@ -52,29 +54,32 @@
 
     @property
     def silent_ms(self) -> float:
-        """Return the time since the store last answered, or since the start."""
-        return self._clock.now() - self._answered_at
+        """Return the time since the latest response or since the start."""
+        return self._clock.now() - self._responded_at
 
     @property
     def settled(self) -> bool:
-        """Tell whether records that lapsed in an outage would be back."""
-        if self._regained_at is None:
+        """Tell whether upstreams have had time to register after an outage."""
+        if self._recovered_at is None:
             return not self._lost
-        return self._clock.now() - self._regained_at > RETURN_MS
+        return self._clock.now() - self._recovered_at > REREGISTRATION_MS
 
-    def note(self, outcome: object) -> None:
-        """Count what a call gave."""
+    def record_result(self, outcome: object) -> None:
+        """Update the status from a call's result or StoreFailure.
+
+        A history that is gone is neither a failure nor a recovery.
+        """
         if not isinstance(outcome, StoreFailure):
             if self._lost:
-                _log.info('store regained', silent_ms=int(self.silent_ms))
-                self._regained_at = self._clock.now()
+                _log.info('store available', silent_ms=int(self.silent_ms))
+                self._recovered_at = self._clock.now()
             self._lost = False
-            self._answered_at = self._clock.now()
+            self._responded_at = self._clock.now()
             return
         if outcome is StoreFailure.HISTORY_GONE:
             return
         if not self._lost:
-            _log.warning('store lost', cause=outcome.value)
+            _log.warning('store unavailable', cause=outcome.value)
         self._lost = True
 
 
@@ -82,63 +87,70 @@
 
 
 class TopicFollower:
-    """Read a topic by offset, and whole where its history has gone."""
+    """Read a topic by offset, and as a snapshot where its history is gone."""
 
     def __init__(
         self,
         store: StorePort,
         topic: Topic,
-        contact: StoreContact,
+        status: StoreStatus,
     ) -> None:
-        """Take the store and the topic."""
+        """Start before the first snapshot; record results in ``status``."""
         self._store = store
         self._topic = topic
-        self._contact = contact
-        self._clock = contact.clock
-        self._next_at = 0.0
+        self._status = status
+        self._clock = status.clock
+        self._next_read_at = 0.0
         self._offset: int | None = None
         self._highest_end = 0
 
-    async def next(self, wait_ms: int) -> Snapshot | Changes | StoreFailure:
-        """Return what is new; a snapshot first and after a gap."""
-        await sleep(self._next_at - self._clock.now())
-        next_at = self._clock.now() + READ_INTERVAL_MS
-        news = await self._read_next(wait_ms)
-        if not isinstance(news, StoreFailure):
-            self._next_at = next_at
-        return news
-
-    async def _read_next(
+    async def next_update(
+        self,
+        wait_ms: int,
+    ) -> Snapshot | Changes | StoreFailure:
+        """Return the changes since the last call, a snapshot at first.
+
+        A snapshot also follows where the history since then is gone. The store
+        is asked to hold the read for ``wait_ms``.
+        """
+        await sleep(self._next_read_at - self._clock.now())
+        next_read_at = self._clock.now() + READ_INTERVAL_MS
+        update = await self._read_update(wait_ms)
+        if not isinstance(update, StoreFailure):
+            self._next_read_at = next_read_at
+        return update
+
+    async def _read_update(
         self,
         wait_ms: int,
     ) -> Snapshot | Changes | StoreFailure:
         if self._offset is None:
-            return await self._read_whole()
+            return await self._read_snapshot()
         changes = await self._store.read_changes(
             self._topic, self._offset, wait_ms
         )
-        self._contact.note(changes)
+        self._status.record_result(changes)
         if isinstance(changes, Changes):
             self._offset = changes.end
             self._highest_end = max(self._highest_end, changes.end)
         elif changes is StoreFailure.HISTORY_GONE:
             self._offset = None
-            return await self._read_whole()
+            return await self._read_snapshot()
         return changes
 
-    async def _read_whole(self) -> Snapshot | StoreFailure:
+    async def _read_snapshot(self) -> Snapshot | StoreFailure:
         snapshot = await self._store.read_snapshot(self._topic)
-        self._contact.note(snapshot)
+        self._status.record_result(snapshot)
         if not isinstance(snapshot, Snapshot):
             return snapshot
         if snapshot.end < self._highest_end:
-            # The store answered from the past: what is missing there may be
-            # younger, so the snapshot proves nothing.
+            # The store returned an old state: keys that are missing there may
+            # have been written later, so the snapshot cannot be used.
             return StoreFailure.MALFORMED
         self._offset = snapshot.end
         self._highest_end = snapshot.end
         _log.info(
-            'topic read whole',
+            'topic snapshot read',
             topic=self._topic.value,
             records=len(snapshot.records),
             end=snapshot.end,
@@ -147,63 +159,68 @@
 
 
 async def follow_configuration(
-    follower: TopicFollower, world: ClusterState
+    follower: TopicFollower, cluster: ClusterState
 ) -> None:
-    """Put each newer configuration in force, for good."""
+    """Apply updates of the configuration topic until cancelled."""
     while True:
-        news = await follower.next(READ_WAIT_MS)
-        if isinstance(news, StoreFailure):
+        update = await follower.next_update(READ_WAIT_MS)
+        if isinstance(update, StoreFailure):
             await sleep(RETRY_MS)
             continue
-        for record in news.records:
-            world.take_configuration(record, 'store')
+        for record in update.records:
+            cluster.apply_configuration(record, 'store')
 
 
 class UpstreamSync:
-    """Keep the directory equal to the store's list of upstreams."""
+    """Keep the directory equal to the store's list of upstreams.
+
+    Records that the store removes because of its own outage are kept until
+    their upstreams have had time to register again.
+    """
 
     def __init__(
         self,
         follower: TopicFollower,
-        world: ClusterState,
-        contact: StoreContact,
+        cluster: ClusterState,
+        status: StoreStatus,
     ) -> None:
-        """Take the follower of the list and where its news goes."""
+        """Apply the updates of ``follower`` to ``cluster``."""
         self._follower = follower
-        self._world = world
-        self._contact = contact
-        self._lapsed: set[str] = set()
+        self._cluster = cluster
+        self._status = status
+        self._expired: set[str] = set()
 
     async def run(self) -> None:
-        """Follow the list for good."""
+        """Apply updates of the list until cancelled."""
         while True:
-            wait_ms = SETTLING_WAIT_MS if self._lapsed else READ_WAIT_MS
-            news = await self._follower.next(wait_ms)
-            if isinstance(news, StoreFailure):
+            wait_ms = RECOVERY_WAIT_MS if self._expired else READ_WAIT_MS
+            update = await self._follower.next_update(wait_ms)
+            if isinstance(update, StoreFailure):
                 await sleep(RETRY_MS)
                 continue
-            for record in news.records:
-                self._take(record)
-            if isinstance(news, Snapshot):
-                self._drop_missing(news)
-            self._drop_lapsed()
-
-    def _take(self, record: StoreRecord) -> None:
-        if record.payload is None and not self._contact.settled:
-            # Removed while the store was away: that may be the outage alone.
-            self._lapsed.add(record.key)
+            for record in update.records:
+                self._apply_record(record)
+            if isinstance(update, Snapshot):
+                self._remove_missing(update)
+            self._remove_expired()
+
+    def _apply_record(self, record: StoreRecord) -> None:
+        if record.payload is None and not self._status.settled:
+            # A record that expired during an outage of the store does not show
+            # that its upstream is gone.
+            self._expired.add(record.key)
             return
-        self._lapsed.discard(record.key)
-        self._world.take_upstream(record, 'store')
+        self._expired.discard(record.key)
+        self._cluster.apply_upstream(record, 'store')
 
-    def _drop_missing(self, snapshot: Snapshot) -> None:
+    def _remove_missing(self, snapshot: Snapshot) -> None:
         listed = {record.key for record in snapshot.records}
-        for name in self._world.directory.names() - listed:
-            self._take(StoreRecord(name, None))
+        for name in self._cluster.directory.names() - listed:
+            self._apply_record(StoreRecord(name, None))
 
-    def _drop_lapsed(self) -> None:
-        if not self._contact.settled:
+    def _remove_expired(self) -> None:
+        if not self._status.settled:
             return
-        for name in self._lapsed:
-            self._world.take_upstream(StoreRecord(name, None), 'lapsed')
-        self._lapsed.clear()
+        for name in self._expired:
+            self._cluster.apply_upstream(StoreRecord(name, None), 'lapsed')
+        self._expired.clear()
--- a/src/amaranthrail/direct/upstreams.py
+++ b/src/amaranthrail/direct/upstreams.py
@@ -1,4 +1,4 @@
-"""Know the upstreams: their records, the calls in flight, their health."""
+"""Keep the directory of upstreams with their calls in flight and health."""
 
 from __future__ import annotations
 
@@ -14,63 +14,64 @@
 from .ports import ReportedLoad
 from .steptimes import StepTimes
 
-#: Time for which a name that has gone is remembered, in ms: a late record must
-#: not bring it back. Records of one name are a heartbeat (1.2 s) apart.
+#: Time for which the name of a removed upstream is kept, in ms, so that a late
+#: record does not add it again. Records of one name are a heartbeat (1.2 s)
+#: apart.
 TOMBSTONE_MS = 60_000.0
-#: Bound of a connection to an upstream, in ms: hosts are a millisecond or two
-#: apart, and a call that has not been sent can still go to another.
+#: Timeout of connecting to an upstream, in ms: hosts are a millisecond or two
+#: apart, and a call that has not been sent can still be sent to another.
 CONNECT_TIMEOUT_MS = 300.0
 _log = part_logger('upstreams')
 
-#: The last record's age of a name that has gone, and when that was noticed.
+#: The order key of a removed upstream's last record, and the time of removal.
 _Tombstone = tuple[OrderKey, float]
 
 
 class Upstream:
-    """Hold one upstream's record, connections, calls and health."""
+    """Hold one upstream's latest record, connections, load and health."""
 
     def __init__(self, record: UpstreamRecord, clock: Clock) -> None:
-        """Take its first record."""
+        """Start with no calls in flight and with no failures."""
         self._record = record
         self._clock = clock
         self._client = _make_client(record)
         self._health = Health()
         self._in_flight = 0
-        self._others = 0.0
-        self._others_at = clock.now()
-        self._heard_at = clock.now()
+        self._other_calls = 0.0
+        self._other_calls_at = clock.now()
+        self._active_at = clock.now()
 
     @property
     def record(self) -> UpstreamRecord:
-        """Return the latest record."""
+        """Return the latest accepted record."""
         return self._record
 
     @property
     def client(self) -> HttpClient:
-        """Return what calls the upstream."""
+        """Return the HTTP client for the address in the record."""
         return self._client
 
     @property
     def health(self) -> Health:
-        """Return how its latest calls ended."""
+        """Return the outlier detection state since the last restart or move."""
         return self._health
 
     @property
     def in_flight(self) -> int:
-        """Return how many of this entry's calls are there."""
+        """Return the number of this entry's calls in flight at the upstream."""
         return self._in_flight
 
     @property
     def silent_ms(self) -> float:
-        """Return the time since it last sent anything or got a call."""
-        return self._clock.now() - self._heard_at
+        """Return the time since it last sent data or got a call while idle."""
+        return self._clock.now() - self._active_at
 
-    def note_heard(self) -> None:
-        """Note that it sent something."""
-        self._heard_at = self._clock.now()
+    def record_activity(self) -> None:
+        """Record that the upstream has just sent data."""
+        self._active_at = self._clock.now()
 
     def update(self, record: UpstreamRecord) -> None:
-        """Take a later record."""
+        """Replace the record; a restart or move resets client and health."""
         moved = (record.host, record.port) != (
             self._record.host,
             self._record.port,
@@ -82,62 +83,65 @@
             self._health = Health()
         self._record = record
 
-    def count(self, change: int) -> None:
-        """Count a call in or out."""
+    def adjust_in_flight(self, change: int) -> None:
+        """Add ``change`` to the number of calls in flight."""
         if not self._in_flight:
-            self._heard_at = self._clock.now()
+            self._active_at = self._clock.now()
         self._in_flight += change
 
-    def note_load(self, load: ReportedLoad) -> None:
-        """Take the load that an answer states; this call is part of it."""
+    def record_load(self, load: ReportedLoad) -> None:
+        """Derive other entries' calls from the load that a response reports.
+
+        The reported load includes this entry's calls.
+        """
         total = load.running + load.waiting
-        self._others = max(0, total - self._in_flight)
-        self._others_at = self._clock.now()
+        self._other_calls = max(0, total - self._in_flight)
+        self._other_calls_at = self._clock.now()
 
-    def view(self, domain: DomainName, told: int) -> UpstreamView:
-        """Return what placing a call looks at.
+    def view(self, domain: DomainName, reported: int) -> UpstreamView:
+        """Return the upstream's state for the choice of an upstream.
 
-        ``told`` is what other entries say of their calls here. What the
-        upstream's answers said may be more: it still runs calls of entries
-        that have lost power.
+        ``reported`` counts the calls that other entries report to have in
+        flight here. The load in the upstream's responses may be higher: it
+        still runs calls of entries that have lost power.
         """
         now = self._clock.now()
-        others = age_others(self._others, now - self._others_at)
+        others = age_others(self._other_calls, now - self._other_calls_at)
         return UpstreamView(
             self._record.name,
             self._record.slots,
             self._in_flight,
-            max(others, told),
+            max(others, reported),
             near=self._record.domain == domain,
             avoided=self._health.avoided(now),
         )
 
 
 class Directory:
-    """Hold the upstreams that take work, and those known to have gone.
+    """Hold the known upstreams, and tombstones of those removed.
 
-    The later record of a name wins, whoever brings it; a name that has gone
-    comes back only with a later record.
+    The later record of a name wins, whatever its source; a removed name is
+    added again only by a record later than its last one.
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Start empty."""
+        """Start without upstreams and without tombstones."""
         self._clock = clock
         self._upstreams: dict[str, Upstream] = {}
-        self._paces: dict[ServiceName, StepTimes] = {}
-        self._gone: dict[str, _Tombstone] = {}
+        self._step_times: dict[ServiceName, StepTimes] = {}
+        self._tombstones: dict[str, _Tombstone] = {}
 
     def __len__(self) -> int:
-        """Return how many upstreams are known."""
+        """Count the known upstreams, ready or draining."""
         return len(self._upstreams)
 
     def records(self) -> Iterator[UpstreamRecord]:
-        """Yield the record of each upstream."""
+        """Yield the latest record of each known upstream."""
         for upstream in self._upstreams.values():
             yield upstream.record
 
     def calls_in_flight(self) -> dict[str, int]:
-        """Return this entry's calls in flight by upstream."""
+        """Return this entry's calls in flight by upstream, zeros left out."""
         return {
             name: upstream.in_flight
             for name, upstream in self._upstreams.items()
@@ -145,27 +149,27 @@
         }
 
     def names(self) -> frozenset[str]:
-        """Return the names of the known upstreams."""
+        """Return the names of all upstreams, ready or draining."""
         return frozenset(self._upstreams)
 
     def find(self, name: str) -> Upstream | None:
-        """Return an upstream by its name."""
+        """Look up an upstream by name; None where it is unknown."""
         return self._upstreams.get(name)
 
-    def pace(self, service: ServiceName) -> StepTimes:
-        """Return how a service's engines go, noted from now on."""
-        pace = self._paces.get(service)
-        if pace is None:
-            pace = StepTimes(self._clock)
-            self._paces[service] = pace
-        return pace
+    def step_times(self, service: ServiceName) -> StepTimes:
+        """Return a service's step time estimate, created at first use."""
+        times = self._step_times.get(service)
+        if times is None:
+            times = StepTimes(self._clock)
+            self._step_times[service] = times
+        return times
 
     def ready_upstreams(
         self,
         service: ServiceName,
         excluded: frozenset[str],
     ) -> list[Upstream]:
-        """Return the upstreams of a service that take new work."""
+        """Return the upstreams of a service that accept calls."""
         return [
             upstream
             for name, upstream in self._upstreams.items()
@@ -175,40 +179,40 @@
         ]
 
     def accept(self, record: UpstreamRecord) -> bool:
-        """Take a record; tell whether it is not older than what was known."""
-        gone = self._gone.get(record.name)
-        if gone is not None and record.order_key <= gone[0]:
+        """Add or update an upstream; return False for an outdated record."""
+        tombstone = self._tombstones.get(record.name)
+        if tombstone is not None and record.order_key <= tombstone[0]:
             return False
-        known = self._upstreams.get(record.name)
-        if known is None:
-            if not self._replace_at_address(record):
+        existing = self._upstreams.get(record.name)
+        if existing is None:
+            if not self._free_address(record):
                 return False
-            self._gone.pop(record.name, None)
+            self._tombstones.pop(record.name, None)
             self._upstreams[record.name] = Upstream(record, self._clock)
-            _note('upstream added', record)
+            _log_change('upstream added', record)
             return True
-        if record.order_key < known.record.order_key:
+        if record.order_key < existing.record.order_key:
             return False
-        if record.state is not known.record.state:
-            _note('upstream changed', record)
-        known.update(record)
+        if record.state is not existing.record.state:
+            _log_change('upstream state changed', record)
+        existing.update(record)
         return True
 
     def remove(self, name: str, cause: str) -> bool:
-        """Forget an upstream; tell whether it was known."""
+        """Replace an upstream by a tombstone; return whether it was known."""
         upstream = self._upstreams.pop(name, None)
         if upstream is None:
             return False
         record = upstream.record
-        self._gone[name] = (record.order_key, self._clock.now())
+        self._tombstones[name] = (record.order_key, self._clock.now())
         upstream.client.close_idle()
         _log.info('upstream removed', upstream=name, cause=cause)
-        self._forget_old()
+        self._drop_old_tombstones()
         return True
 
-    def gone(self) -> Iterator[tuple[str, OrderKey]]:
-        """Yield each name that has gone and the age of its last record."""
-        for name, (order_key, _) in self._gone.items():
+    def removed(self) -> Iterator[tuple[str, OrderKey]]:
+        """Yield each removed name and the order key of its last record."""
+        for name, (order_key, _) in self._tombstones.items():
             yield name, order_key
 
     def remove_until(
@@ -217,30 +221,30 @@
         order_key: OrderKey,
         cause: str,
     ) -> None:
-        """Forget an upstream unless its record is later than this."""
-        known = self._upstreams.get(name)
-        if known is not None and known.record.order_key <= order_key:
+        """Remove an upstream unless its record is later than ``order_key``."""
+        existing = self._upstreams.get(name)
+        if existing is not None and existing.record.order_key <= order_key:
             self.remove(name, cause)
 
-    def _replace_at_address(self, record: UpstreamRecord) -> bool:
-        """Drop an earlier upstream with a new one's address.
+    def _free_address(self, record: UpstreamRecord) -> bool:
+        """Remove an earlier upstream that has the address of a new record.
 
-        Return False where the known one is the later of the two.
+        Return False where the known upstream started after the new one.
         """
         for upstream in list(self._upstreams.values()):
-            known = upstream.record
-            if (known.host, known.port) != (record.host, record.port):
+            existing = upstream.record
+            if (existing.host, existing.port) != (record.host, record.port):
                 continue
-            if known.started_at > record.started_at:
+            if existing.started_at > record.started_at:
                 return False
-            self.remove(known.name, 'replaced')
+            self.remove(existing.name, 'replaced')
         return True
 
-    def _forget_old(self) -> None:
+    def _drop_old_tombstones(self) -> None:
         oldest = self._clock.now() - TOMBSTONE_MS
-        self._gone = {
+        self._tombstones = {
             name: tombstone
-            for name, tombstone in self._gone.items()
+            for name, tombstone in self._tombstones.items()
             if tombstone[1] > oldest
         }
 
@@ -252,7 +256,7 @@
     )
 
 
-def _note(event: str, record: UpstreamRecord) -> None:
+def _log_change(event: str, record: UpstreamRecord) -> None:
     _log.info(
         event,
         upstream=record.name,
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -5,7 +5,7 @@
 import pytest
 
 from amaranthrail.clock import Clock
-from amaranthrail.direct.members import MEMORY_MS, Members
+from amaranthrail.direct.members import HOST_RETENTION_MS, Members
 from amaranthrail.policy.membership import (
     LIFE_MS,
     SETTLE_MS,
@@ -77,9 +77,9 @@
     time = FakeTime()
     members = new_members(time)
     time.pass_ms(LIFE_MS)
-    assert members.check_lead()
-    members.leave()
-    assert not members.check_lead()
+    assert members.check_leadership()
+    members.begin_shutdown()
+    assert not members.check_leadership()
 
 
 def test_reports_come_less_often_the_more_entries_there_are() -> None:
@@ -94,11 +94,11 @@
 def test_an_entry_out_of_reach_still_counts_for_the_bound_on_repeats() -> None:
     time = FakeTime()
     members = new_members(time)
-    members.take_seeds(['a', 'b'])
-    members.note_heard(heard('c', time))
+    members.replace_seeds(['a', 'b'])
+    members.record_report(heard('c', time))
     time.pass_ms(3_600_000)
     assert members.count == 3
-    assert members.alive == []
+    assert members.live_hosts == []
 
 
 def test_replaced_hosts_are_forgotten() -> None:
@@ -106,34 +106,34 @@
     time = FakeTime()
     members = new_members(time)
     for host in range(1000):
-        members.note_heard(heard(f'h{host}', time))
-        time.pass_ms(MEMORY_MS / 100)
+        members.record_report(heard(f'h{host}', time))
+        time.pass_ms(HOST_RETENTION_MS / 100)
     assert members.count <= 101
 
 
 def test_a_listed_host_that_is_never_heard_is_long_lost() -> None:
     time = FakeTime()
     members = new_members(time)
-    members.take_listed(['a', 'b', 'c'])
-    time.pass_ms(MEMORY_MS / 2)
-    members.note_heard(heard('c', time))
-    assert members.long_lost == frozenset()
-    time.pass_ms(MEMORY_MS / 2)
-    assert members.long_lost == {'a'}
+    members.replace_listed(['a', 'b', 'c'])
+    time.pass_ms(HOST_RETENTION_MS / 2)
+    members.record_report(heard('c', time))
+    assert members.lost_hosts == frozenset()
+    time.pass_ms(HOST_RETENTION_MS / 2)
+    assert members.lost_hosts == {'a'}
 
 
 def test_who_can_be_asked_after_this_entry_has_ended() -> None:
     time = FakeTime()
     members = new_members(time)
-    members.leave()
+    members.begin_shutdown()
     left_at = members.own.leaving_at
     now = time() * 1000
-    members.note_heard(Member('a', 1, now, left_at - 1))
-    members.note_heard(Member('c', 1, now, informed=False))
-    assert members.successors == 0
-    members.note_heard(Member('a', 1, now, left_at + 1))
-    members.note_heard(Member('c', 1, now))
-    assert members.successors == 2
+    members.record_report(Member('a', 1, now, left_at - 1))
+    members.record_report(Member('c', 1, now, informed=False))
+    assert members.successor_count == 0
+    members.record_report(Member('a', 1, now, left_at + 1))
+    members.record_report(Member('c', 1, now))
+    assert members.successor_count == 2
 
 
 def test_of_entries_that_leave_together_one_stays_to_the_last() -> None:
--- a/tests/test_shared_loads.py
+++ b/tests/test_shared_loads.py
@@ -10,10 +10,10 @@
 
 from amaranthrail.clock import Clock
 from amaranthrail.direct.deployment import UpstreamRecord, UpstreamState
-from amaranthrail.direct.loads import REPORT_LIFE_MS, SharedLoads
+from amaranthrail.direct.loads import REPORT_EXPIRY_MS, SharedLoads
 from amaranthrail.direct.peermessages import (
     LoadReport,
-    decode_report,
+    decode_load_report,
     encode_message,
 )
 from amaranthrail.direct.ports import ReportedLoad
@@ -37,27 +37,27 @@
 def test_reports_of_all_entries_add_up() -> None:
     shared = SharedLoads(Clock(FakeTime()))
     assert not shared.totals()
-    shared.take('10.0.0.1', {'e1': 2})
-    shared.take('10.0.0.2', {'e1': 1, 'e2': 4})
+    shared.update('10.0.0.1', {'e1': 2})
+    shared.update('10.0.0.2', {'e1': 1, 'e2': 4})
     assert shared.totals() == {'e1': 3, 'e2': 4}
-    shared.take('10.0.0.1', {})
+    shared.update('10.0.0.1', {})
     assert shared.totals()['e1'] == 1
 
 
 def test_a_report_of_an_entry_that_fell_silent_is_forgotten() -> None:
     time = FakeTime()
     shared = SharedLoads(Clock(time))
-    shared.take('10.0.0.1', {'e1': 2})
-    time.now_s += (REPORT_LIFE_MS + 1) / 1000
-    shared.take('10.0.0.2', {'e1': 1})
+    shared.update('10.0.0.1', {'e1': 2})
+    time.now_s += (REPORT_EXPIRY_MS + 1) / 1000
+    shared.update('10.0.0.2', {'e1': 1})
     assert shared.totals()['e1'] == 1
 
 
 def test_a_report_is_read_as_it_was_written() -> None:
     report = LoadReport({'e1': 3}, ['10.0.0.3'], 1000, 2000)
-    assert decode_report(encode_message(report)) == report
+    assert decode_load_report(encode_message(report)) == report
     with pytest.raises(msgspec.DecodeError):
-        decode_report(b'\xff')
+        decode_load_report(b'\xff')
 
 
 def test_a_crest_met_by_twelve_entries_overruns_no_upstream() -> None:
@@ -93,7 +93,7 @@
         sequence=1,
     )
     upstream = Upstream(record, Clock(time))
-    upstream.note_load(ReportedLoad(running=5, waiting=2, slots=SLOTS))
+    upstream.record_load(ReportedLoad(running=5, waiting=2, slots=SLOTS))
     assert upstream.view(DomainName('a'), 1).others == pytest.approx(7)
     time.now_s += 10
     assert upstream.view(DomainName('a'), 1).others == pytest.approx(1)
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -18,8 +18,8 @@
     Topic,
 )
 from amaranthrail.direct.sync import (
-    RETURN_MS,
-    StoreContact,
+    REREGISTRATION_MS,
+    StoreStatus,
     TopicFollower,
     UpstreamSync,
 )
@@ -80,10 +80,10 @@
     async def main() -> None:
         clock = Clock(trio.current_time)
         world = ClusterState(clock, DIALECT)
-        contact = StoreContact(clock)
+        status = StoreStatus(clock)
         store = ScriptedStore(answers)
-        follower = TopicFollower(store, Topic.UPSTREAMS, contact)
-        sync = UpstreamSync(follower, world, contact)
+        follower = TopicFollower(store, Topic.UPSTREAMS, status)
+        sync = UpstreamSync(follower, world, status)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(sync.run)
             await scenario(world, store)
@@ -105,7 +105,7 @@
     async def scenario(world: ClusterState, _store: ScriptedStore) -> None:
         await trio.sleep(1)
         assert world.directory.names() == {'i-1', 'i-2'}
-        await trio.sleep(RETURN_MS / 1000 + 0.5)
+        await trio.sleep(REREGISTRATION_MS / 1000 + 0.5)
         # The first was back within the time; the second was not.
         assert world.directory.names() == {'i-1'}
 
@@ -123,7 +123,7 @@
     """Replays DRAIN on dvorak-ladirna scale-2 (seed in the journal)."""
 
     async def scenario(world: ClusterState, store: ScriptedStore) -> None:
-        await trio.sleep(RETURN_MS / 1000 + 1.2)
+        await trio.sleep(REREGISTRATION_MS / 1000 + 1.2)
         removed = Changes((StoreRecord('i-1', None),), 3)
         store.answers.append(removed)
         await trio.sleep(0.7)
