--- a/tests/test_direct_path.py
+++ b/tests/test_direct_path.py
@@ -1,4 +1,4 @@
-"""Serve callers through a direct entry, with sound and faulty replicas."""
+"""Test calls through a direct entry to healthy and faulty replicas."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from .platformbench import PlatformBench, on_platform, until
 from .platformbuild import configuration, route
 
-PLAIN_READ = route('read', 'idempotent', 'plain')
-WHOLE_STREAM = b''.join(
+READ_ROUTE = route('read', 'idempotent', 'plain')
+COMPLETE_STREAM = b''.join(
     f'id: {number}\ndata: {number}\n\n'.encode()
     for number in range(1, EVENTS + 1)
 )
-#: Answers of calls that ran, which no caller may get.
-UNUSABLE_ANSWERS = (
+#: Faults in responses to executed calls; no caller may get such a response.
+UNUSABLE_RESPONSES = (
     Behaviour.CUTTING,
     Behaviour.CROSSED,
     Behaviour.UNSIGNED,
@@ -44,7 +44,7 @@
         booked = await entry.call('/book/1', 'POST')
         assert (booked.status, booked.body) == (200, b'p1 did /book/1')
         streamed = await entry.call('/stream/1', 'POST')
-        assert (streamed.status, streamed.body) == (200, WHOLE_STREAM)
+        assert (streamed.status, streamed.body) == (200, COMPLETE_STREAM)
 
     on_platform(scenario)
 
@@ -58,7 +58,7 @@
         ('/read/1', {'authorization': 'Basic k1'}, 401),
     ],
 )
-def test_what_no_configuration_allows_is_refused(
+def test_requests_without_route_or_credential_are_refused(
     path: str,
     headers: dict[str, str],
     status: int,
@@ -75,9 +75,9 @@
 
 @pytest.mark.parametrize(
     'behaviour',
-    UNUSABLE_ANSWERS,
+    UNUSABLE_RESPONSES,
 )
-def test_a_call_that_may_have_run_is_not_sent_again(
+def test_a_call_that_may_have_run_is_not_retried(
     behaviour: Behaviour,
 ) -> None:
     async def scenario(bench: PlatformBench) -> None:
@@ -86,19 +86,19 @@
             replica.behaviour = behaviour
         entry = await bench.start_entry()
         await entry.until_ready()
-        answer = await entry.call('/book/1', 'POST')
-        # Anything but a promise that it has not run.
-        assert answer.status in {502, 504}
-        assert sum(len(one.ran) for one in bench.replicas.values()) == 1
+        response = await entry.call('/book/1', 'POST')
+        # Not 503, which would state that the call has not run.
+        assert response.status in {502, 504}
+        assert sum(len(replica.ran) for replica in bench.replicas.values()) == 1
 
     on_platform(scenario)
 
 
 @pytest.mark.parametrize(
     'behaviour',
-    [*UNUSABLE_ANSWERS, Behaviour.FAILING, Behaviour.SHEDDING],
+    [*UNUSABLE_RESPONSES, Behaviour.FAILING, Behaviour.SHEDDING],
 )
-def test_an_idempotent_call_is_answered_by_another_replica(
+def test_an_idempotent_call_is_retried_at_another_replica(
     behaviour: Behaviour,
 ) -> None:
     async def scenario(bench: PlatformBench) -> None:
@@ -108,35 +108,35 @@
         entry = await bench.start_entry()
         await entry.until_ready()
         await until(lambda: bench.log.calls > 4)
-        answer = await entry.call('/read/1')
-        assert (answer.status, answer.body) == (200, b'p2 did /read/1')
+        response = await entry.call('/read/1')
+        assert (response.status, response.body) == (200, b'p2 did /read/1')
 
     on_platform(scenario)
 
 
-def test_a_call_that_has_not_run_says_so() -> None:
+def test_a_call_that_has_not_run_is_refused_with_retry_after() -> None:
     async def scenario(bench: PlatformBench) -> None:
         replica = await bench.add_replica('p1')
         replica.behaviour = Behaviour.SHEDDING
         entry = await bench.start_entry()
         await entry.until_ready()
-        answer = await entry.call('/book/1', 'POST')
-        assert answer.status == 503
-        assert 0 < float(answer.header('retry-after') or '0') < 2
+        response = await entry.call('/book/1', 'POST')
+        assert response.status == 503
+        assert 0 < float(response.header('retry-after') or '0') < 2
 
     on_platform(scenario)
 
 
-def test_a_call_at_its_deadline_is_answered_then() -> None:
+def test_a_call_without_response_is_refused_at_its_deadline() -> None:
     async def scenario(bench: PlatformBench) -> None:
         replica = await bench.add_replica('p1')
         replica.behaviour = Behaviour.MUTE
         entry = await bench.start_entry()
         await entry.until_ready()
-        answer = await entry.call(
+        response = await entry.call(
             '/book/1', 'POST', deadline_remaining_ms='200'
         )
-        assert answer.status == 504
+        assert response.status == 504
         await until(lambda: replica.cancelled == 1)
 
     on_platform(scenario)
@@ -146,7 +146,7 @@
     'behaviour',
     [Behaviour.CUTTING, Behaviour.CUTTING_IN_EVENT],
 )
-def test_a_cut_stream_goes_on_at_another_replica(behaviour: Behaviour) -> None:
+def test_a_cut_stream_resumes_at_another_replica(behaviour: Behaviour) -> None:
     async def scenario(bench: PlatformBench) -> None:
         bad = await bench.add_replica('e1', 'engine', zone='a')
         bad.behaviour = behaviour
@@ -154,15 +154,15 @@
         entry = await bench.start_entry()
         await entry.until_ready()
         await until(lambda: bench.log.calls > 4)
-        answer = await entry.call('/stream/1', 'POST')
-        assert answer.body == WHOLE_STREAM
-        assert answer.header('replica-signature') == 'signed-e1'
+        response = await entry.call('/stream/1', 'POST')
+        assert response.body == COMPLETE_STREAM
+        assert response.header('replica-signature') == 'signed-e1'
         assert good.ran[0].header('last-event-id') == '2'
 
     on_platform(scenario)
 
 
-def test_a_stream_that_cannot_go_on_never_looks_complete() -> None:
+def test_a_stream_that_cannot_resume_ends_with_an_error() -> None:
     async def scenario(bench: PlatformBench) -> None:
         bad = await bench.add_replica('e1', 'engine')
         bad.behaviour = Behaviour.CUTTING
@@ -174,7 +174,7 @@
     on_platform(scenario)
 
 
-def test_work_ends_when_its_caller_has_gone() -> None:
+def test_a_request_is_cancelled_when_its_caller_disconnects() -> None:
     async def scenario(bench: PlatformBench) -> None:
         replica = await bench.add_replica('e1', 'engine')
         replica.pause_s = 5
@@ -187,7 +187,7 @@
     on_platform(scenario)
 
 
-def test_a_leaving_replica_gets_no_more_calls() -> None:
+def test_draining_and_removed_replicas_get_no_more_calls() -> None:
     async def scenario(bench: PlatformBench) -> None:
         for name in ('p1', 'p2'):
             await bench.add_replica(name)
@@ -197,13 +197,13 @@
         bench.announce('p1', '127.0.0.1:9', state='draining')
         bench.log.topic('keyed.servers').put('p2', b'')
         await until(lambda: len(entry.entry.cluster_state.directory) == 1)
-        answer = await entry.call('/read/1')
-        assert answer.status == 503
+        response = await entry.call('/read/1')
+        assert response.status == 503
 
     on_platform(scenario)
 
 
-def test_a_replaced_replica_is_not_asked_twice() -> None:
+def test_a_replaced_replica_is_removed_after_one_call() -> None:
     async def scenario(bench: PlatformBench) -> None:
         replica = await bench.add_replica('p1')
         entry = await bench.start_entry()
@@ -217,15 +217,15 @@
     on_platform(scenario)
 
 
-def test_a_newer_configuration_is_in_force_at_once() -> None:
+def test_only_a_newer_configuration_is_put_in_force() -> None:
     async def scenario(bench: PlatformBench) -> None:
         await bench.add_replica('p1')
         entry = await bench.start_entry()
         await entry.until_ready()
-        fresh = route('fresh', 'idempotent', 'plain')
-        bench.configure(9, routes=[fresh])
+        new_route = route('fresh', 'idempotent', 'plain')
+        bench.configure(9, routes=[new_route])
         await until(lambda: entry.entry.cluster_state.version == 9, bound_s=2)
-        # An older one that comes late changes nothing.
+        # An older version that arrives later is ignored.
         bench.configure(4)
         await trio.sleep(0.3)
         assert (await entry.call('/fresh/1')).status == 200
@@ -234,7 +234,7 @@
     on_platform(scenario)
 
 
-def test_history_that_has_gone_is_read_anew() -> None:
+def test_a_snapshot_is_read_where_history_is_gone() -> None:
     async def scenario(bench: PlatformBench) -> None:
         await bench.add_replica('p1')
         entry = await bench.start_entry()
@@ -252,7 +252,9 @@
     'fault',
     [StoreFault.REFUSING, StoreFault.BUSY, StoreFault.MALFORMED],
 )
-def test_news_reach_an_entry_that_the_store_refuses(fault: StoreFault) -> None:
+def test_an_entry_syncs_with_peers_while_the_store_fails(
+    fault: StoreFault,
+) -> None:
     async def scenario(bench: PlatformBench) -> None:
         await bench.add_replica('p1')
         first = await bench.start_entry()
@@ -266,8 +268,8 @@
     on_platform(scenario)
 
 
-def test_an_entry_whose_read_was_lost_learns_a_version_from_others() -> None:
-    """Replays a read of the store that gives nothing, though it answers."""
+def test_a_version_that_the_store_withholds_is_synced_from_a_peer() -> None:
+    """Guards against a store that responds but does not return updates."""
 
     async def scenario(bench: PlatformBench) -> None:
         await bench.add_replica('p1')
@@ -292,7 +294,7 @@
     on_platform(scenario)
 
 
-def test_an_entry_that_knows_nothing_is_not_ready() -> None:
+def test_an_entry_without_configuration_is_not_ready() -> None:
     async def scenario(bench: PlatformBench) -> None:
         bench.log.fault = StoreFault.REFUSING
         entry = await bench.start_entry()
@@ -303,7 +305,7 @@
     on_platform(scenario)
 
 
-def test_leaving_answers_what_has_been_read() -> None:
+def test_shutdown_finishes_streams_in_progress() -> None:
     async def scenario(bench: PlatformBench) -> None:
         replica = await bench.add_replica('e1', 'engine')
         replica.pause_s = 0.1
@@ -316,26 +318,27 @@
                 entry.entry.stop()
 
             nursery.start_soon(stop)
-            answer = await entry.call('/stream/1', 'POST')
-        assert answer.body == WHOLE_STREAM
+            response = await entry.call('/stream/1', 'POST')
+        assert response.body == COMPLETE_STREAM
         assert not entry.entry.ready
-        # One that is still sent here is served, and told to go elsewhere.
-        late = await entry.call('/stream/1', 'POST')
-        assert late.status == 200
-        assert late.header('connection') == 'close'
+        # A call that still arrives is served, and its connection is closed.
+        late_response = await entry.call('/stream/1', 'POST')
+        assert late_response.status == 200
+        assert late_response.header('connection') == 'close'
 
     on_platform(scenario)
 
 
-def test_callers_that_still_come_to_a_leaving_entry_are_answered() -> None:
-    """Replays three entries of one failure domain that leave together.
+def test_callers_that_arrive_during_shutdown_get_a_response() -> None:
+    """Guards against resets while a failure domain's entries shut down.
 
-    The balancer had nobody else there, and new connections were reset.
+    Three entries of one domain shut down together. The balancer had no other
+    entry there, and the new connections that it opened were reset.
     """
 
     async def scenario(bench: PlatformBench) -> None:
         long_stream = route('stream', 'streaming', 'engine', timeout_ms=8000)
-        bench.configure(2, routes=[long_stream, PLAIN_READ])
+        bench.configure(2, routes=[long_stream, READ_ROUTE])
         plain = await bench.add_replica('p1')
         slow = await bench.add_replica('e1', 'engine')
         slow.pause_s = 0.8
@@ -347,8 +350,8 @@
             await until(lambda: bool(slow.ran))
             entry.entry.stop()
             await trio.sleep(STREAM_INTAKE_MS / 1000 + 0.1)
-            answer = await entry.call('/read/1')
-            assert (answer.status, len(plain.ran)) == (200, 1)
+            response = await entry.call('/read/1')
+            assert (response.status, len(plain.ran)) == (200, 1)
             refused = await call_long('/stream/2', 'POST')
         assert (refused.status, len(slow.ran)) == (503, 1)
         assert refused.header('retry-after') == '0.000'
@@ -356,23 +359,23 @@
     on_platform(scenario)
 
 
-def test_bytes_beyond_ascii_pass_unchanged() -> None:
+def test_header_bytes_beyond_ascii_are_forwarded_unchanged() -> None:
     async def scenario(bench: PlatformBench) -> None:
         replica = await bench.add_replica('p1')
         entry = await bench.start_entry()
         await entry.until_ready()
-        answer = await entry.call('/read/1', x_note='caf\xe9')
-        assert answer.status == 200
+        response = await entry.call('/read/1', x_note='caf\xe9')
+        assert response.status == 200
         assert replica.ran[0].header('x-note') == 'caf\xe9'
 
     on_platform(scenario)
 
 
 @pytest.mark.parametrize('silent_from', ['begin', 'third event'])
-def test_a_stream_leaves_an_upstream_that_alone_is_silent(
+def test_a_stream_switches_from_an_upstream_that_alone_stalls(
     silent_from: str,
 ) -> None:
-    """Replays replicas that are well by their word and never answer."""
+    """Guards against replicas that report good health and never respond."""
 
     async def scenario(bench: PlatformBench) -> None:
         fast_stream = route(
@@ -383,28 +386,28 @@
             stream_resume=True,
         )
         bench.configure(2, routes=[fast_stream])
-        silent = await bench.add_replica('e1', 'engine')
-        silent.behaviour = Behaviour.MUTE
+        stalled = await bench.add_replica('e1', 'engine')
+        stalled.behaviour = Behaviour.MUTE
         if silent_from != 'begin':
-            silent.behaviour = Behaviour.STOPPING
+            stalled.behaviour = Behaviour.STOPPING
         entry = await bench.start_entry()
         await entry.until_ready()
         call = partial(entry.call, deadline_remaining_ms='8000')
-        answers: list[HttpAnswer] = []
+        responses: list[HttpAnswer] = []
 
-        async def ask() -> None:
-            answers.append(await call('/stream/1', 'POST'))
+        async def call_first() -> None:
+            responses.append(await call('/stream/1', 'POST'))
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(ask)
-            await until(lambda: bool(silent.ran))
-            sound = await bench.add_replica('e2', 'engine')
-            sound.pause_s = 0.05
+            nursery.start_soon(call_first)
+            await until(lambda: bool(stalled.ran))
+            healthy = await bench.add_replica('e2', 'engine')
+            healthy.pause_s = 0.05
             await until(lambda: len(entry.entry.cluster_state.directory) == 2)
-            while not answers:
+            while not responses:
                 await call('/stream/2', 'POST')
-        answer = answers[0]
-        assert (answer.status, answer.body) == (200, WHOLE_STREAM)
-        assert silent.cancelled
+        response = responses[0]
+        assert (response.status, response.body) == (200, COMPLETE_STREAM)
+        assert stalled.cancelled
 
     on_platform(scenario)
--- a/tests/test_lead.py
+++ b/tests/test_lead.py
@@ -1,4 +1,4 @@
-"""Keep, lose and leave the lead over the expert maps, over loopback."""
+"""Test leadership over the expert maps, with entries on loopback."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 async def start_two(bench: PlatformBench) -> tuple[RunningEntry, RunningEntry]:
-    """Start two entries that know each other; the first one leads."""
+    """Start two entries that know each other; the first one is leader."""
     first = await bench.start_entry(node_name='e1')
     await until(lambda: first.entry.is_leader)
     second = await bench.start_entry(
@@ -20,8 +20,12 @@
     return first, second
 
 
-def test_the_lead_outlasts_an_outage_of_the_store() -> None:
-    """Replays an outage right after the lead was lost: nobody led for 9 s."""
+def test_leadership_stays_in_an_outage_of_the_store() -> None:
+    """Guards against a missing leader during an outage of the store.
+
+    The outage began right after leadership was lost: no entry was leader for
+    9 s.
+    """
 
     async def scenario(bench: PlatformBench) -> None:
         first, second = await start_two(bench)
@@ -32,7 +36,7 @@
     on_platform(scenario)
 
 
-def test_the_lead_passes_on_during_an_outage() -> None:
+def test_leadership_moves_during_an_outage() -> None:
     async def scenario(bench: PlatformBench) -> None:
         first, second = await start_two(bench)
         await trio.sleep(2)
@@ -44,7 +48,7 @@
     on_platform(scenario)
 
 
-def test_an_entry_that_starts_takes_no_lead_from_another() -> None:
+def test_an_entry_that_starts_does_not_replace_the_leader() -> None:
     async def scenario(bench: PlatformBench) -> None:
         first, second = await start_two(bench)
         for _ in range(30):
@@ -55,8 +59,12 @@
     on_platform(scenario)
 
 
-def test_what_is_known_outlasts_a_restart_of_all_entries() -> None:
-    """Replays deploy/days/leaving-domains.toml: all refused until the store."""
+def test_configuration_outlasts_a_restart_of_all_entries() -> None:
+    """Guards against refusals while all entries restart in a store outage.
+
+    Found with deploy/days/leaving-domains.toml: all calls were refused until
+    the store was back.
+    """
 
     async def scenario(bench: PlatformBench) -> None:
         await bench.add_replica('p1')
@@ -66,7 +74,7 @@
         await until(lambda: first.entry.store_lost)
         first.entry.stop()
         second.entry.stop()
-        # Both have nothing left to do, and nobody else knows anything.
+        # Neither has calls left, and no other entry has the configuration.
         await trio.sleep(4)
         third = await bench.start_entry(
             node_name='e3',
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Tell who lives and who leads while entries die, are cut off and return."""
+"""Test liveness and leadership of entries that fail, shut down and return."""
 
 from __future__ import annotations
 
@@ -29,20 +29,20 @@
     def wall(self) -> float:
         return self.wall_s
 
-    def pass_ms(self, span_ms: float) -> None:
-        self.now_s += span_ms / 1000
-        self.wall_s += span_ms / 1000
+    def advance_ms(self, duration_ms: float) -> None:
+        self.now_s += duration_ms / 1000
+        self.wall_s += duration_ms / 1000
 
 
 def new_members(time: FakeTime, host: str = 'b') -> Members:
     return Members(host, Clock(time, time.wall))
 
 
-def heard(host: str, time: FakeTime) -> Member:
+def live_member(host: str, time: FakeTime) -> Member:
     return Member(host, 1, time() * 1000)
 
 
-def test_who_has_run_longest_leads() -> None:
+def test_the_entry_that_has_run_longest_is_leader() -> None:
     own = Member('b', 5000, 0)
     older = Member('c', 4000, SETTLED)
     younger = Member('a', 6000, SETTLED)
@@ -51,38 +51,40 @@
     assert leads(older, [younger, own], 2 * SETTLED)
 
 
-def test_entries_that_started_together_agree_on_one() -> None:
-    one, other = Member('a', 5000, 0), Member('b', 5000, 0)
+def test_entries_that_started_together_agree_on_one_leader() -> None:
+    first, second = Member('a', 5000, 0), Member('b', 5000, 0)
     now = SETTLED
-    heard = [Member(each.host, 5000, now) for each in (one, other)]
-    assert leads(one, [heard[1]], now)
-    assert not leads(other, [heard[0]], now)
+    reports = [Member(member.host, 5000, now) for member in (first, second)]
+    assert leads(first, [reports[1]], now)
+    assert not leads(second, [reports[0]], now)
 
 
 @pytest.mark.parametrize('leaving', [True, False])
-def test_the_lead_passes_on_once_the_leader_goes(*, leaving: bool) -> None:
+def test_leadership_moves_when_the_leader_shuts_down_or_expires(
+    *, leaving: bool
+) -> None:
     own = Member('b', 5000, 0)
     silent_ms = 0 if leaving else LIFE_MS
     leader = Member('a', 4000, SETTLED - silent_ms, int(leaving))
     assert leads(own, [leader], SETTLED)
 
 
-def test_an_entry_waits_to_hear_the_others_before_it_leads() -> None:
+def test_an_entry_waits_for_reports_before_it_becomes_leader() -> None:
     own = Member('a', 5000, SETTLED)
     assert not leads(own, [], SETTLED + SETTLE_MS - 1)
     assert leads(own, [], SETTLED + SETTLE_MS)
 
 
-def test_an_entry_that_leaves_does_not_lead() -> None:
+def test_an_entry_that_shuts_down_is_not_leader() -> None:
     time = FakeTime()
     members = new_members(time)
-    time.pass_ms(LIFE_MS)
+    time.advance_ms(LIFE_MS)
     assert members.check_leadership()
     members.begin_shutdown()
     assert not members.check_leadership()
 
 
-def test_reports_come_less_often_the_more_entries_there_are() -> None:
+def test_the_liveness_timeout_grows_with_the_number_of_entries() -> None:
     assert (
         expected_life_ms(1, 24)
         == expected_life_ms(25, 24)
@@ -91,52 +93,52 @@
     assert expected_life_ms(330, 24) == pytest.approx(14 * LIFE_MS)
 
 
-def test_an_entry_out_of_reach_still_counts_for_the_bound_on_repeats() -> None:
+def test_an_unreachable_entry_still_shares_the_retry_budget() -> None:
     time = FakeTime()
     members = new_members(time)
     members.replace_seeds(['a', 'b'])
-    members.record_report(heard('c', time))
-    time.pass_ms(3_600_000)
+    members.record_report(live_member('c', time))
+    time.advance_ms(3_600_000)
     assert members.count == 3
     assert members.live_hosts == []
 
 
-def test_replaced_hosts_are_forgotten() -> None:
-    """Replays days of 110 replaced hosts: each had counted for good."""
+def test_replaced_hosts_expire() -> None:
+    """Guards against counting each host forever on days with 110 replaced."""
     time = FakeTime()
     members = new_members(time)
     for host in range(1000):
-        members.record_report(heard(f'h{host}', time))
-        time.pass_ms(HOST_RETENTION_MS / 100)
+        members.record_report(live_member(f'h{host}', time))
+        time.advance_ms(HOST_RETENTION_MS / 100)
     assert members.count <= 101
 
 
-def test_a_listed_host_that_is_never_heard_is_long_lost() -> None:
+def test_a_listed_host_without_reports_counts_as_lost() -> None:
     time = FakeTime()
     members = new_members(time)
     members.replace_listed(['a', 'b', 'c'])
-    time.pass_ms(HOST_RETENTION_MS / 2)
-    members.record_report(heard('c', time))
+    time.advance_ms(HOST_RETENTION_MS / 2)
+    members.record_report(live_member('c', time))
     assert members.lost_hosts == frozenset()
-    time.pass_ms(HOST_RETENTION_MS / 2)
+    time.advance_ms(HOST_RETENTION_MS / 2)
     assert members.lost_hosts == {'a'}
 
 
-def test_who_can_be_asked_after_this_entry_has_ended() -> None:
+def test_only_entries_that_outlast_this_one_are_successors() -> None:
     time = FakeTime()
     members = new_members(time)
     members.begin_shutdown()
-    left_at = members.own.leaving_at
+    shutdown_at = members.own.leaving_at
     now = time() * 1000
-    members.record_report(Member('a', 1, now, left_at - 1))
+    members.record_report(Member('a', 1, now, shutdown_at - 1))
     members.record_report(Member('c', 1, now, informed=False))
     assert members.successor_count == 0
-    members.record_report(Member('a', 1, now, left_at + 1))
+    members.record_report(Member('a', 1, now, shutdown_at + 1))
     members.record_report(Member('c', 1, now))
     assert members.successor_count == 2
 
 
-def test_of_entries_that_leave_together_one_stays_to_the_last() -> None:
-    one, other = Member('a', 1, 0, 5000), Member('b', 1, 0, 5000)
-    assert outlasts(other, one)
-    assert not outlasts(one, other)
+def test_of_entries_that_shut_down_together_one_outlasts_the_rest() -> None:
+    first, second = Member('a', 1, 0, 5000), Member('b', 1, 0, 5000)
+    assert outlasts(second, first)
+    assert not outlasts(first, second)
--- a/tests/test_shared_loads.py
+++ b/tests/test_shared_loads.py
@@ -1,4 +1,4 @@
-"""Know from other entries' reports how many calls each upstream has."""
+"""Test how load reports of other entries add to an upstream's load."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         return self.now_s
 
 
-def test_reports_of_all_entries_add_up() -> None:
+def test_reports_of_all_entries_are_summed() -> None:
     shared = SharedLoads(Clock(FakeTime()))
     assert not shared.totals()
     shared.update('10.0.0.1', {'e1': 2})
@@ -44,7 +44,7 @@
     assert shared.totals()['e1'] == 1
 
 
-def test_a_report_of_an_entry_that_fell_silent_is_forgotten() -> None:
+def test_a_report_without_successor_expires() -> None:
     time = FakeTime()
     shared = SharedLoads(Clock(time))
     shared.update('10.0.0.1', {'e1': 2})
@@ -53,33 +53,39 @@
     assert shared.totals()['e1'] == 1
 
 
-def test_a_report_is_read_as_it_was_written() -> None:
+def test_a_report_survives_encoding_and_decoding() -> None:
     report = LoadReport({'e1': 3}, ['10.0.0.3'], 1000, 2000)
     assert decode_load_report(encode_message(report)) == report
     with pytest.raises(msgspec.DecodeError):
         decode_load_report(b'\xff')
 
 
-def test_a_crest_met_by_twelve_entries_overruns_no_upstream() -> None:
-    """Replays 300 streams on 360 slots, as on the grown sites."""
-    source = random.Random(1)
+def test_a_load_peak_at_twelve_entries_overloads_no_upstream() -> None:
+    """Guards against overload: 300 streams on 360 slots, as on large sites."""
+    random_source = random.Random(1)
     own = [dict.fromkeys(range(UPSTREAMS), 0) for _ in range(ENTRIES)]
     for stream in range(300):
         calls = own[stream % ENTRIES]
-        views = [UpstreamView(str(one), SLOTS, calls[one]) for one in calls]
-        told = [
-            replace(view, others=sum(each[one] for each in own) - calls[one])
-            for one, view in enumerate(views)
+        views = [
+            UpstreamView(str(index), SLOTS, calls[index]) for index in calls
         ]
-        chosen = place(told, source)
+        views_with_reports = [
+            replace(
+                view, others=sum(counts[index] for counts in own) - calls[index]
+            )
+            for index, view in enumerate(views)
+        ]
+        chosen = place(views_with_reports, random_source)
         assert chosen is not None
         calls[int(chosen.name)] += 1
-    totals = [sum(each[one] for each in own) for one in range(UPSTREAMS)]
+    totals = [
+        sum(counts[index] for counts in own) for index in range(UPSTREAMS)
+    ]
     assert max(totals) <= SLOTS
 
 
-def test_calls_of_an_entry_that_lost_power_still_count() -> None:
-    """Replays a loss of all entries: engines go on with their streams."""
+def test_calls_of_an_entry_that_lost_power_are_still_counted() -> None:
+    """Guards against a loss of all entries while engines run their streams."""
     time = FakeTime()
     record = UpstreamRecord(
         'e1',
