--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -178,7 +178,7 @@
         return begins(stream, call.engine_load)
 
     def _reserve_switch(self, call: Call) -> bool:
-        """Take a retry for a stream that may leave its stalled upstream.
+        """Take a retry for a stream that switches to another upstream.
 
         Return whether it may resume at another upstream.
         """
--- a/src/amaranthrail/direct/service.py
+++ b/src/amaranthrail/direct/service.py
@@ -97,7 +97,7 @@
             self._loads,
             self._members,
         )
-        self._maps = MapKeeper(
+        self._map_controller = MapKeeper(
             self._cluster,
             self._members.check_leadership,
             make_rank,
@@ -165,7 +165,7 @@
                 self._peer_sync.run,
                 self._report_exchange.run,
                 self._stalls.run,
-                self._maps.run,
+                self._map_controller.run,
                 partial(trio.serve_listeners, self._peer_sync.serve, peers),
                 partial(self._serve_internal, probes, self._answer_probe),
                 partial(self._serve_internal, metrics, self._answer_metrics),
@@ -261,7 +261,7 @@
                 break
             await sleep(_EXIT_CHECK_INTERVAL_MS)
         with move_on_after(deadline - self._clock.now()):
-            await self._maps.finish()
+            await self._map_controller.finish()
         if self._server_state.active:
             _log.warning(
                 'calls cut off at shutdown deadline',
--- a/tests/test_lead.py
+++ b/tests/test_lead.py
@@ -79,7 +79,7 @@
         third = await bench.start_entry(
             node_name='e3',
             seed_nodes=','.join(
-                f'{one.address.host}:8229' for one in (first, second)
+                f'{entry.address.host}:8229' for entry in (first, second)
             ),
         )
         await third.until_ready()
