--- a/tests/test_shared_loads.py
+++ b/tests/test_shared_loads.py
@@ -1,4 +1,4 @@
-"""Know from other entries' reports how many calls each upstream has."""
+"""Test how load reports of other entries add to an upstream's load."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 from amaranthrail.clock import Clock
 from amaranthrail.direct.deployment import UpstreamRecord, UpstreamState
-from amaranthrail.direct.loads import REPORT_LIFE_MS, SharedLoads
+from amaranthrail.direct.loads import REPORT_EXPIRY_MS, SharedLoads
 from amaranthrail.direct.peermessages import (
     LoadReport,
-    decode_report,
+    decode_load_report,
     encode_message,
 )
 from amaranthrail.direct.ports import ReportedLoad
@@ -34,52 +34,58 @@
         return self.now_s
 
 
-def test_reports_of_all_entries_add_up() -> None:
+def test_reports_of_all_entries_are_summed() -> None:
     shared = SharedLoads(Clock(FakeTime()))
     assert not shared.totals()
-    shared.take('10.0.0.1', {'e1': 2})
-    shared.take('10.0.0.2', {'e1': 1, 'e2': 4})
+    shared.update('10.0.0.1', {'e1': 2})
+    shared.update('10.0.0.2', {'e1': 1, 'e2': 4})
     assert shared.totals() == {'e1': 3, 'e2': 4}
-    shared.take('10.0.0.1', {})
+    shared.update('10.0.0.1', {})
     assert shared.totals()['e1'] == 1
 
 
-def test_a_report_of_an_entry_that_fell_silent_is_forgotten() -> None:
+def test_a_report_without_successor_expires() -> None:
     time = FakeTime()
     shared = SharedLoads(Clock(time))
-    shared.take('10.0.0.1', {'e1': 2})
-    time.now_s += (REPORT_LIFE_MS + 1) / 1000
-    shared.take('10.0.0.2', {'e1': 1})
+    shared.update('10.0.0.1', {'e1': 2})
+    time.now_s += (REPORT_EXPIRY_MS + 1) / 1000
+    shared.update('10.0.0.2', {'e1': 1})
     assert shared.totals()['e1'] == 1
 
 
-def test_a_report_is_read_as_it_was_written() -> None:
+def test_a_report_survives_encoding_and_decoding() -> None:
     report = LoadReport({'e1': 3}, ['10.0.0.3'], 1000, 2000)
-    assert decode_report(encode_message(report)) == report
+    assert decode_load_report(encode_message(report)) == report
     with pytest.raises(msgspec.DecodeError):
-        decode_report(b'\xff')
+        decode_load_report(b'\xff')
 
 
-def test_a_crest_met_by_twelve_entries_overruns_no_upstream() -> None:
-    """Replays 300 streams on 360 slots, as on the grown sites."""
-    source = random.Random(1)
+def test_a_load_peak_at_twelve_entries_overloads_no_upstream() -> None:
+    """Guards against overload: 300 streams on 360 slots, as on large sites."""
+    random_source = random.Random(1)
     own = [dict.fromkeys(range(UPSTREAMS), 0) for _ in range(ENTRIES)]
     for stream in range(300):
         calls = own[stream % ENTRIES]
-        views = [UpstreamView(str(one), SLOTS, calls[one]) for one in calls]
-        told = [
-            replace(view, others=sum(each[one] for each in own) - calls[one])
-            for one, view in enumerate(views)
+        views = [
+            UpstreamView(str(index), SLOTS, calls[index]) for index in calls
         ]
-        chosen = select_upstream(told, source)
+        views_with_reports = [
+            replace(
+                view, others=sum(counts[index] for counts in own) - calls[index]
+            )
+            for index, view in enumerate(views)
+        ]
+        chosen = select_upstream(views_with_reports, random_source)
         assert chosen is not None
         calls[int(chosen.name)] += 1
-    totals = [sum(each[one] for each in own) for one in range(UPSTREAMS)]
+    totals = [
+        sum(counts[index] for counts in own) for index in range(UPSTREAMS)
+    ]
     assert max(totals) <= SLOTS
 
 
-def test_calls_of_an_entry_that_lost_power_still_count() -> None:
-    """Replays a loss of all entries: engines go on with their streams."""
+def test_calls_of_an_entry_that_lost_power_are_still_counted() -> None:
+    """Guards against a loss of all entries while engines run their streams."""
     time = FakeTime()
     record = UpstreamRecord(
         'e1',
@@ -93,7 +99,7 @@
         sequence=1,
     )
     upstream = Upstream(record, Clock(time))
-    upstream.note_load(ReportedLoad(running=5, waiting=2, slots=SLOTS))
+    upstream.record_load(ReportedLoad(running=5, waiting=2, slots=SLOTS))
     assert upstream.view(DomainName('a'), 1).others == pytest.approx(7)
     time.now_s += 10
     assert upstream.view(DomainName('a'), 1).others == pytest.approx(1)
