--- a/src/amaranthrail/entry/__init__.py
+++ b/src/amaranthrail/entry/__init__.py
@@ -1,1 +1,1 @@
-"""Serve callers: identify, admit, route, retry and keep keyed work."""
+"""Serve callers: admit, route and retry requests, run keyed ones once."""
--- a/src/amaranthrail/entry/administration.py
+++ b/src/amaranthrail/entry/administration.py
@@ -23,7 +23,7 @@
 from ..records import Drain, FilingState, new_record_id
 from ..timeline import Event, merge_events
 from ..types import FilingKey
-from .core import EntryCore
+from .context import EntryContext
 from .keyedrequests import KeyedRequests
 from .keytable import KeyRecord
 from .peers import Peer
@@ -56,83 +56,90 @@
 
 
 @dataclass(frozen=True)
-class AdminParts:
-    """Hold what the administration API shows and changes."""
+class AdminContext:
+    """Hold the components that the administration API shows and changes."""
 
-    core: EntryCore
-    filings: KeyedRequests
+    context: EntryContext
+    keyed_requests: KeyedRequests
     control: Follower
     log: LogPort
 
 
 class Administration:
-    """Serve the administration port of one entry."""
-
-    def __init__(self, parts: AdminParts) -> None:
-        """Take the parts to show and change."""
-        self._core = parts.core
-        self._filings = parts.filings
-        self._control = parts.control
-        self._log = parts.log
-        self._runtime = parts.core.runtime
+    """Handle the requests on the administration port of one entry."""
+
+    def __init__(self, admin: AdminContext) -> None:
+        """Take the components and register the API's routes."""
+        self._context = admin.context
+        self._keyed_requests = admin.keyed_requests
+        self._control = admin.control
+        self._log = admin.log
+        self._runtime = admin.context.runtime
         self._routes: dict[tuple[str, str], _Handler] = {
-            ('GET', '/v1/status'): self._status,
-            ('GET', '/v1/timeline'): self._timeline,
-            ('GET', '/v1/lost'): self._lost,
-            ('GET', '/v1/manifest'): self._manifest,
-            ('POST', '/v1/manifest'): self._publish,
-            ('POST', '/v1/drain'): self._drain,
+            ('GET', '/v1/status'): self._get_status,
+            ('GET', '/v1/timeline'): self._get_timeline,
+            ('GET', '/v1/lost'): self._list_lost,
+            ('GET', '/v1/manifest'): self._get_manifest,
+            ('POST', '/v1/manifest'): self._publish_manifest,
+            ('POST', '/v1/drain'): self._set_drain,
         }
 
     async def handle(self, request: HttpRequest, reply: Reply) -> None:
-        """Answer one request; health and metrics need no token."""
+        """Respond to one request.
+
+        Health probes and metrics need no token; everything else does.
+        """
         match request.path:
             case '/healthz':
                 await send_alive(reply)
             case '/readyz':
-                await send_ready(reply, ready=self._core.ready)
+                await send_ready(reply, ready=self._context.ready)
             case '/metrics':
-                await self._metrics(reply)
+                await self._send_metrics(reply)
             case _:
-                await self._guarded(request, reply)
-
-    async def _guarded(self, request: HttpRequest, reply: Reply) -> None:
-        given = request.header('authorization') or ''
-        expected = f'Bearer {self._core.settings.admin_token}'
-        if not hmac.compare_digest(given.encode(), expected.encode()):
-            problem = {'title': 'give the administration token'}
+                await self._handle_authorised(request, reply)
+
+    async def _handle_authorised(
+        self, request: HttpRequest, reply: Reply
+    ) -> None:
+        authorization = request.header('authorization') or ''
+        expected = f'Bearer {self._context.settings.admin_token}'
+        if not hmac.compare_digest(authorization.encode(), expected.encode()):
+            problem = {'title': 'send the administration token'}
             await send_json(reply, _UNAUTHORISED, problem)
             return
         handler = self._routes.get((request.method, request.path))
         if handler is None and _is_resolve(request):
-            handler = self._resolve
+            handler = self._resolve_lost
         if handler is None:
-            missing = f'no {request.method} {request.path:.120}'
-            await send_json(reply, _NOT_FOUND, {'title': missing})
+            title = f'no {request.method} {request.path:.120}'
+            await send_json(reply, _NOT_FOUND, {'title': title})
             return
         await handler(request, reply)
 
-    async def _metrics(self, reply: Reply) -> None:
-        core = self._core
+    async def _send_metrics(self, reply: Reply) -> None:
+        context = self._context
         gauges = {
-            'peers_connected': sum(one.connected for one in core.roster.peers),
-            'peers': len(core.roster.peers),
-            'filings_known': core.shards.ledger.size,
-            'filings_open': len(core.shards.ledger.open()),
-            'filings_lost': len(core.shards.ledger.lost()),
-            'facts_waiting': core.shards.waiting,
-            'shard_appends': core.shards.appends,
-            'shard_appends_unanswered': core.shards.unanswered,
-            'retries_saved': core.budget.saved,
+            'peers_connected': sum(
+                peer.connected for peer in context.pool.peers
+            ),
+            'peers': len(context.pool.peers),
+            'filings_known': context.shards.key_table.size,
+            'filings_open': len(context.shards.key_table.open_records()),
+            'filings_lost': len(context.shards.key_table.lost_records()),
+            'facts_waiting': context.shards.pending_count,
+            'shard_appends': context.shards.append_count,
+            'shard_appends_unanswered': context.shards.unanswered_count,
+            'retries_saved': context.budget.saved,
         }
-        for name, reading in gauges.items():
-            self._runtime.metrics.gauge(name, reading)
+        for name, gauge_value in gauges.items():
+            self._runtime.metrics.gauge(name, gauge_value)
         await send_metrics(reply, self._runtime.metrics)
 
-    async def _status(self, _request: HttpRequest, reply: Reply) -> None:
-        core = self._core
+    async def _get_status(self, _request: HttpRequest, reply: Reply) -> None:
+        context = self._context
         configuration = self._runtime.configuration
-        ledger = core.shards.ledger
+        key_table = context.shards.key_table
         await send_json(
             reply,
             _OK,
@@ -140,62 +147,65 @@
                 'entry': self._runtime.process,
                 'incarnation': self._runtime.incarnation,
                 'failure_domain': self._runtime.domain,
-                'ready': core.ready,
+                'ready': context.ready,
                 'manifest_version': configuration.version,
                 'log_reachable': self._control.reachable
-                and core.shards.reachable,
-                'host_list_reachable': core.roster.reachable,
-                'records_skipped': configuration.skipped + ledger.skipped,
-                'contradictions': ledger.contradictions,
+                and context.shards.reachable,
+                'host_list_reachable': context.pool.reachable,
+                'records_skipped': configuration.skipped + key_table.skipped,
+                'contradictions': key_table.contradictions,
                 'filings': {
-                    'known': ledger.size,
-                    'open': len(ledger.open()),
-                    'lost': len(ledger.lost()),
-                    'waiting_for_log': core.shards.waiting,
-                    'appends_unanswered': core.shards.unanswered,
+                    'known': key_table.size,
+                    'open': len(key_table.open_records()),
+                    'lost': len(key_table.lost_records()),
+                    'waiting_for_log': context.shards.pending_count,
+                    'appends_unanswered': context.shards.unanswered_count,
                 },
                 'upstreams': [
                     _peer_status(peer, configuration)
-                    for peer in core.roster.peers
+                    for peer in context.pool.peers
                 ],
             },
         )
 
-    async def _timeline(self, _request: HttpRequest, reply: Reply) -> None:
+    async def _get_timeline(self, _request: HttpRequest, reply: Reply) -> None:
         sources = [self._runtime.timeline.after(0)]
         async with trio.open_nursery() as nursery:
-            for peer in self._core.roster.peers:
+            for peer in self._context.pool.peers:
                 nursery.start_soon(_gather_events, peer, sources)
         await send_json(reply, _OK, merge_events(sources))
 
-    async def _lost(self, _request: HttpRequest, reply: Reply) -> None:
-        lost = [_lost_entry(one) for one in self._core.shards.ledger.lost()]
+    async def _list_lost(self, _request: HttpRequest, reply: Reply) -> None:
+        lost = [
+            _lost_item(record)
+            for record in self._context.shards.key_table.lost_records()
+        ]
         await send_json(reply, _OK, lost)
 
-    async def _resolve(self, request: HttpRequest, reply: Reply) -> None:
+    async def _resolve_lost(self, request: HttpRequest, reply: Reply) -> None:
         order = _decode_order(request.body, _ResolveOrder)
         states = {'ran': FilingState.RAN, 'not-run': FilingState.VOID}
         if order is None or order.outcome not in states:
-            usage = 'give outcome ("ran" or "not-run") and author'
-            await send_json(reply, _BAD_REQUEST, {'title': usage})
+            title = 'send outcome ("ran" or "not-run") and author'
+            await send_json(reply, _BAD_REQUEST, {'title': title})
             return
         quoted = request.path[len(_LOST_PREFIX) : -len(_RESOLVE_SUFFIX)]
         key = FilingKey(unquote(quoted))
-        filing = self._core.shards.ledger.find(key)
-        if filing is None or filing.state is not FilingState.LOST:
-            missing = f'key {key!r} is not on the lost list'
-            await send_json(reply, _NOT_FOUND, {'title': missing})
+        record = self._context.shards.key_table.find(key)
+        if record is None or record.state is not FilingState.LOST:
+            title = f'key {key!r} is not on the lost list'
+            await send_json(reply, _NOT_FOUND, {'title': title})
             return
-        resolved = await self._filings.resolve(
+        is_recorded = await self._keyed_requests.resolve(
             key,
             states[order.outcome],
             order.author,
             _RESOLVE_TIMEOUT_MS,
         )
-        status = _OK if resolved else _ACCEPTED
-        await send_json(reply, status, {'key': key, 'recorded': resolved})
+        status = _OK if is_recorded else _ACCEPTED
+        await send_json(reply, status, {'key': key, 'recorded': is_recorded})
 
-    async def _manifest(self, _request: HttpRequest, reply: Reply) -> None:
+    async def _get_manifest(self, _request: HttpRequest, reply: Reply) -> None:
         in_force = self._runtime.configuration.in_force
         if in_force is None:
             await send_json(reply, _NOT_FOUND, {'title': 'no manifest yet'})
@@ -203,19 +213,24 @@
         version = ('x-manifest-version', str(in_force.version))
         await reply.whole(_OK, (JSON_TYPE, version), in_force.text)
 
-    async def _publish(self, request: HttpRequest, reply: Reply) -> None:
+    async def _publish_manifest(
+        self, request: HttpRequest, reply: Reply
+    ) -> None:
         configuration = self._runtime.configuration
         try:
             parse_manifest(request.body)
         except ManifestError as error:
-            refused = {'outcome': 'refused', 'reason': str(error)}
-            await send_json(reply, _BAD_REQUEST, refused)
+            refusal = {'outcome': 'refused', 'reason': str(error)}
+            await send_json(reply, _BAD_REQUEST, refusal)
             return
         base = request.query.get('base', str(configuration.version))
         author = request.query.get('author', 'administration')
         if not base.isdecimal():
-            refused = {'outcome': 'refused', 'reason': 'base is no version'}
-            await send_json(reply, _BAD_REQUEST, refused)
+            refusal = {
+                'outcome': 'refused',
+                'reason': 'base is not a version number',
+            }
+            await send_json(reply, _BAD_REQUEST, refusal)
             return
         change = new_change(int(base), request.body, author)
         verdict = await publish_manifest(
@@ -228,19 +243,19 @@
             pending = {'outcome': 'unknown', 'id': change.id}
             await send_json(reply, _ACCEPTED, pending)
             return
-        told = {
+        body = {
             'outcome': 'accepted' if verdict.accepted else 'refused',
             'version': verdict.version,
             'reason': verdict.reason,
             'id': change.id,
         }
-        await send_json(reply, _OK if verdict.accepted else _CONFLICT, told)
+        await send_json(reply, _OK if verdict.accepted else _CONFLICT, body)
 
-    async def _drain(self, request: HttpRequest, reply: Reply) -> None:
+    async def _set_drain(self, request: HttpRequest, reply: Reply) -> None:
         order = _decode_order(request.body, _DrainOrder)
         if order is None:
-            usage = 'give upstream, draining (true or false) and author'
-            await send_json(reply, _BAD_REQUEST, {'title': usage})
+            title = 'send upstream, draining (true or false) and author'
+            await send_json(reply, _BAD_REQUEST, {'title': title})
             return
         record = Drain(
             id=new_record_id(),
@@ -248,16 +263,16 @@
             draining=order.draining,
             author=order.author,
         )
-        seen = await publish_drain(
+        is_in_force = await publish_drain(
             self._log,
             self._runtime.configuration,
             record,
             PUBLISH_TIMEOUT_MS,
         )
-        for peer in self._core.roster.peers:
-            peer.announce()
-        told = {'upstream': order.upstream, 'in_force': seen}
-        await send_json(reply, _OK if seen else _ACCEPTED, told)
+        for peer in self._context.pool.peers:
+            peer.send_heartbeat()
+        body = {'upstream': order.upstream, 'in_force': is_in_force}
+        await send_json(reply, _OK if is_in_force else _ACCEPTED, body)
 
 
 def _is_resolve(request: HttpRequest) -> bool:
@@ -276,7 +291,7 @@
 
 
 async def _gather_events(peer: Peer, sources: list[list[Event]]) -> None:
-    sources.append(await peer.events(_EVENTS_TIMEOUT_MS))
+    sources.append(await peer.fetch_events(_EVENTS_TIMEOUT_MS))
 
 
 def _peer_status(peer: Peer, configuration: Configuration) -> dict[str, object]:
@@ -286,7 +301,7 @@
         'service': peer.record.service,
         'failure_domain': peer.record.domain,
         'connected': peer.connected,
-        'takes_work': peer.takes_work,
+        'takes_work': peer.accepts_work,
         'draining': configuration.is_draining(peer.name),
         'leaving': load is not None and load.leaving,
         'queued': 0 if load is None else load.queued,
@@ -296,12 +311,12 @@
     }
 
 
-def _lost_entry(filing: KeyRecord) -> dict[str, object]:
+def _lost_item(record: KeyRecord) -> dict[str, object]:
     return {
-        'key': filing.intent.key,
-        'operation': filing.intent.operation,
-        'upstream': filing.intent.upstream,
-        'attempt': filing.intent.attempt,
-        'reason': filing.conclusion.reason if filing.conclusion else '',
-        'recorded_at': filing.recorded_at,
+        'key': record.intent.key,
+        'operation': record.intent.operation,
+        'upstream': record.intent.upstream,
+        'attempt': record.intent.attempt,
+        'reason': record.conclusion.reason if record.conclusion else '',
+        'recorded_at': record.recorded_at,
     }
--- a/src/amaranthrail/entry/call.py
+++ b/src/amaranthrail/entry/call.py
@@ -1,4 +1,4 @@
-"""Hold one caller's request after it has been identified and sized."""
+"""Represent a caller's request once it is authenticated, routed and sized."""
 
 from __future__ import annotations
 
@@ -18,8 +18,9 @@
 )
 from .routes import Route
 
-#: Fields that carry the caller's secrets or address this hop alone.
-_PRIVATE_HEADERS = frozenset(
+#: Not forwarded: credentials, fields that this entry interprets or sets
+#: itself, and hop-by-hop fields.
+_UNFORWARDED = frozenset(
     (
         'authorization',
         'connection',
@@ -39,9 +40,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """Hold a request, whose it is, where it goes and until when.
+    """Hold a request with its organisation, route, size and deadline.
 
-    ``deadline`` is monotonic milliseconds.
+    ``deadline`` is in monotonic milliseconds. ``request_id`` is sent to the
+    upstream and to the caller as ``X-Request-Id``.
     """
 
     request: HttpRequest
@@ -49,29 +51,34 @@
     route: Route
     size: Size
     deadline: float
-    label: str
+    request_id: str
 
     @property
     def key(self) -> FilingKey | None:
-        """Return the idempotency key, qualified by its organisation."""
-        given = self.request.header(KEY_HEADER)
-        if not given:
+        """Return the idempotency key prefixed by the organisation, if sent."""
+        raw_key = self.request.header(KEY_HEADER)
+        if not raw_key:
             return None
-        return qualified_key(self.organisation.name, given)
+        return qualified_key(self.organisation.name, raw_key)
 
     @property
     def operation_name(self) -> str:
-        """Return the service and the operation, for people."""
+        """Return ``service.operation``, for log records and messages."""
         return f'{self.route.service.name}.{self.route.operation.name}'
 
-    def left_ms(self, clock: Clock) -> float:
-        """Return the time left until the deadline."""
+    def remaining_ms(self, clock: Clock) -> float:
+        """Return the milliseconds until the deadline, negative after it."""
         return self.deadline - clock.now()
 
 
 @dataclass(frozen=True, slots=True)
-class Target:
-    """Name the sidecar run that a dispatch is for."""
+class DispatchTarget:
+    """Identify the sidecar run that a dispatch is meant for.
+
+    The sidecar refuses a dispatch for another incarnation or an older manifest
+    version. ``intent`` is the id of a keyed attempt, empty for idempotent
+    requests.
+    """
 
     incarnation: str
     manifest: int
@@ -81,13 +88,17 @@
 def make_dispatch(
     call: Call,
     clock: Clock,
-    target: Target,
-    request: RequestId,
+    target: DispatchTarget,
+    exchange_id: RequestId,
     sidecar_clock: float,
 ) -> Dispatch:
-    """Return the frame that hands a call to a sidecar."""
+    """Build the frame that sends a call to a sidecar.
+
+    ``sidecar_clock`` is the clock of the sidecar's latest heartbeat, by which
+    the sidecar refuses a dispatch that arrives too late.
+    """
     return Dispatch(
-        request=request,
+        request=exchange_id,
         incarnation=target.incarnation,
         stamp=clock.stamp(),
         clock=sidecar_clock,
@@ -97,7 +108,7 @@
         target=call.request.target,
         headers=upstream_headers(call),
         body=call.request.body,
-        left_ms=call.left_ms(clock),
+        left_ms=call.remaining_ms(clock),
         cost_ms=call.size.cost_ms,
         long=call.size.long,
         intent=target.intent,
@@ -105,12 +116,16 @@
 
 
 def upstream_headers(call: Call) -> HeaderList:
-    """Return what the upstream may see; who calls is our word, not theirs."""
-    kept = tuple(
-        pair for pair in call.request.headers if pair[0] not in _PRIVATE_HEADERS
+    """Return the header fields for the upstream.
+
+    ``X-Organisation`` is the authenticated organisation; the caller's own
+    field of that name is removed, so that no caller can impersonate one.
+    """
+    forwarded = tuple(
+        field for field in call.request.headers if field[0] not in _UNFORWARDED
     )
     return (
-        *kept,
-        ('x-request-id', call.label),
+        *forwarded,
+        ('x-request-id', call.request_id),
         ('x-organisation', call.organisation.name),
     )
--- a/src/amaranthrail/entry/conclusions.py
+++ b/src/amaranthrail/entry/conclusions.py
@@ -1,4 +1,4 @@
-"""Record how attempts ended and answer from the record."""
+"""Record the conclusions of keyed attempts and answer from them."""
 
 from __future__ import annotations
 
@@ -10,53 +10,57 @@
 from .keytable import KeyRecord
 from .shards import Shards
 
-MAX_KEPT_BODY_BYTES = 262_144
+MAX_RECORDED_BODY_BYTES = 262_144
 
-Answer = HttpAnswer | Refusal
+CallResult = HttpAnswer | Refusal
 
 
-class Conclusions:
-    """Write the conclusions of attempts to the filing record."""
+class ConclusionRecorder:
+    """Append the conclusions of keyed attempts to the shards."""
 
     def __init__(self, runtime: Runtime, shards: Shards) -> None:
-        """Take the record."""
+        """Use the process's clock, timeline and metrics, and the shards."""
         self._runtime = runtime
         self._shards = shards
 
-    def left_ms(self, intent: Intent) -> float:
-        """Return the time left until an intent's deadline, by wall time."""
+    def remaining_ms(self, intent: Intent) -> float:
+        """Return the milliseconds until an intent's deadline, by wall clock."""
         return intent.deadline - self._runtime.clock.wall()
 
-    def void(self, intent: Intent, reason: str) -> None:
+    def record_void(self, intent: Intent, reason: str) -> None:
         """Record that an attempt did not run and never will."""
-        self._conclude(intent, FilingState.VOID, reason)
+        self._write_without_response(intent, FilingState.VOID, reason)
 
-    def lost(self, intent: Intent, reason: str) -> None:
-        """Record that what became of an attempt cannot be known."""
-        self._conclude(intent, FilingState.LOST, reason)
+    def record_lost(self, intent: Intent, reason: str) -> None:
+        """Record that the outcome of an attempt cannot be determined."""
+        self._write_without_response(intent, FilingState.LOST, reason)
 
-    def ran(self, intent: Intent, answer: HttpAnswer) -> None:
-        """Record that an attempt ran, and its answer."""
-        too_large = len(answer.body) > MAX_KEPT_BODY_BYTES
-        self._add(
+    def record_ran(self, intent: Intent, response: HttpAnswer) -> None:
+        """Record that an attempt ran, with its response.
+
+        A body of more than ``MAX_RECORDED_BODY_BYTES`` is left out; retries
+        with the key then get ``answer-too-large``.
+        """
+        is_too_large = len(response.body) > MAX_RECORDED_BODY_BYTES
+        self._write(
             Conclusion(
                 key=intent.key,
                 intent=intent.id,
                 state=FilingState.RAN,
-                reason=Reason.ANSWER_TOO_LARGE.value if too_large else '',
-                status=answer.status,
-                headers=answer.headers,
-                body=b'' if too_large else answer.body,
+                reason=Reason.ANSWER_TOO_LARGE.value if is_too_large else '',
+                status=response.status,
+                headers=response.headers,
+                body=b'' if is_too_large else response.body,
             ),
         )
 
-    def _conclude(
+    def _write_without_response(
         self,
         intent: Intent,
         state: FilingState,
         reason: str,
     ) -> None:
-        self._add(
+        self._write(
             Conclusion(
                 key=intent.key,
                 intent=intent.id,
@@ -65,7 +69,7 @@
             ),
         )
 
-    def _add(self, conclusion: Conclusion) -> None:
+    def _write(self, conclusion: Conclusion) -> None:
         state = conclusion.state.value
         self._runtime.timeline.add(
             f'filing-{state}',
@@ -76,19 +80,19 @@
         self._shards.add(conclusion)
 
 
-def recorded_answer(filing: KeyRecord) -> Answer:
-    """Return the answer that the record holds for a key."""
-    conclusion = filing.conclusion
-    if filing.resolution is not None:
+def recorded_result(record: KeyRecord) -> CallResult:
+    """Return the response or refusal that the record of a key stands for."""
+    conclusion = record.conclusion
+    if record.resolution is not None:
         return unknown(
             Reason.KEY_LOST,
-            f'resolved as {filing.state.value} by {filing.resolution.author}',
+            f'resolved as {record.state.value} by {record.resolution.author}',
         )
-    if filing.state is FilingState.VOID:
-        return not_run(Reason.VOIDED, 'voided before its start')
-    if filing.state is FilingState.RAN and conclusion is not None:
+    if record.state is FilingState.VOID:
+        return not_run(Reason.VOIDED, 'voided before it started')
+    if record.state is FilingState.RAN and conclusion is not None:
         if conclusion.reason:
-            return Refusal(Outcome.RAN, Reason.ANSWER_TOO_LARGE, 'not kept')
+            return Refusal(Outcome.RAN, Reason.ANSWER_TOO_LARGE, 'not recorded')
         return HttpAnswer(
             conclusion.status,
             conclusion.headers,
@@ -97,6 +101,9 @@
     return unknown(Reason.KEY_LOST, 'an operator must resolve this key')
 
 
-def key_reused(key: FilingKey) -> Refusal:
-    """Return the refusal of a key that came with another request before."""
-    return not_run(Reason.KEY_REUSED, f'key {key} came with another request')
+def key_reused_refusal(key: FilingKey) -> Refusal:
+    """Return the refusal of a key used before with a different request."""
+    return not_run(
+        Reason.KEY_REUSED,
+        f'key {key} was used with a different request',
+    )
--- a/src/amaranthrail/entry/core.py
+++ b/src/amaranthrail/entry/context.py
@@ -1,4 +1,4 @@
-"""Bundle what the entry's parts share and choose replicas for calls."""
+"""Share an entry's components and choose a peer for each call."""
 
 from __future__ import annotations
 
@@ -19,71 +19,74 @@
 from .shards import Shards
 from .upstreampool import UpstreamPool
 
-_NO_REPLICA_RETRY_MS = 1000
+_NO_REPLICA_RETRY_AFTER_MS = 1000
 _DEFAULT_RETRY_SHARE = 0.1
 
 
 @dataclass
-class Policies:
-    """Hold the policies of the manifest in force."""
+class ActivePolicies:
+    """Hold what is derived from the manifest in force.
+
+    ``balancers`` are made on first use, one for each service name.
+    """
 
     routes: RouteTable | None = None
-    pickers: dict[str, Picker] = field(default_factory=dict)
+    balancers: dict[str, Picker] = field(default_factory=dict)
     budget: RetryBudget = field(
         default_factory=lambda: RetryBudget(_DEFAULT_RETRY_SHARE),
     )
     max_body_bytes: int = 1_048_576
 
 
-class EntryCore:
-    """Own what is common to all calls of one entry."""
+class EntryContext:
+    """Hold the components and policies that all calls of one entry use."""
 
     def __init__(
         self,
         runtime: Runtime,
         settings: EntrySettings,
-        roster: UpstreamPool,
+        pool: UpstreamPool,
         shards: Shards,
     ) -> None:
-        """Take the parts that calls use."""
+        """Take the components and follow changes of the configuration."""
         self._runtime = runtime
         self._settings = settings
-        self._roster = roster
+        self._pool = pool
         self._shards = shards
         self._shares = FairShares()
-        self._policies = Policies()
+        self._policies = ActivePolicies()
         self._random = random.Random(runtime.incarnation)
-        self._leaving = False
-        runtime.configuration.on_change(self._configure)
+        self._shutting_down = False
+        runtime.configuration.on_change(self._apply_configuration)
 
     @property
     def runtime(self) -> Runtime:
-        """Return what the process shares."""
+        """Return the process's identity, clock, metrics and configuration."""
         return self._runtime
 
     @property
     def settings(self) -> EntrySettings:
-        """Return the entry's settings."""
+        """Return the settings with which this entry was started."""
         return self._settings
 
     @property
-    def roster(self) -> UpstreamPool:
-        """Return the peers."""
-        return self._roster
+    def pool(self) -> UpstreamPool:
+        """Return the pool of sidecar peers."""
+        return self._pool
 
     @property
     def shards(self) -> Shards:
-        """Return the filing record."""
+        """Return the shards that record keyed attempts."""
         return self._shards
 
     @property
     def shares(self) -> FairShares:
-        """Return what organisations have in progress."""
+        """Return the work in progress of each organisation."""
         return self._shares
 
     @property
     def budget(self) -> RetryBudget:
-        """Return the retry budget."""
+        """Return the retry budget for idempotent calls."""
         return self._policies.budget
 
     @property
@@ -93,58 +96,64 @@
 
     @property
     def max_body_bytes(self) -> int:
-        """Return the largest request body accepted."""
+        """Return the largest request body accepted, in bytes."""
         return self._policies.max_body_bytes
 
     @property
-    def leaving(self) -> bool:
-        """Tell whether the entry is shutting down."""
-        return self._leaving
+    def shutting_down(self) -> bool:
+        """Tell whether a graceful shutdown has started."""
+        return self._shutting_down
 
     @property
     def ready(self) -> bool:
-        """Tell whether callers can be served."""
-        connected = any(peer.connected for peer in self._roster.peers)
-        return connected and self.routes is not None and not self._leaving
+        """Tell whether callers can be served, for the readiness probe.
+
+        It takes a connected peer, a manifest in force, and no shutdown.
+        """
+        connected = any(peer.connected for peer in self._pool.peers)
+        return connected and self.routes is not None and not self._shutting_down
 
-    def leave(self) -> None:
-        """Turn not ready."""
-        self._leaving = True
+    def start_shutdown(self) -> None:
+        """Report the entry as not ready from now on."""
+        self._shutting_down = True
 
-    def choose(
+    def choose_peer(
         self,
         call: Call,
         excluded: frozenset[str],
         *,
         admitted: bool = False,
     ) -> Peer | Refusal:
-        """Return the peer that a call goes to, or why it is refused now.
+        """Return the peer for a call, or the refusal of the call.
 
-        ``excluded`` peers are used only when nobody else is there; a call
-        ``admitted`` before is not asked about its organisation's share again.
+        ``excluded`` peers are used only when no other peer takes new work. A
+        call ``admitted`` before, as on a retry, is not checked again against
+        its organisation's fair share.
         """
         service = call.route.service
-        peers = self._roster.usable(service.name)
-        peers = [one for one in peers if one.name not in excluded] or peers
+        peers = self._pool.available(service.name)
+        peers = [peer for peer in peers if peer.name not in excluded] or peers
         if not peers:
             return not_run(
                 Reason.NO_REPLICA,
-                f'no replica of {service.name} takes work',
-                _NO_REPLICA_RETRY_MS,
+                f'no available replica of {service.name}',
+                _NO_REPLICA_RETRY_AFTER_MS,
             )
         by_name = {peer.name: peer for peer in peers}
         share = service.policies.long_share
         candidates = [
             peer.candidate(share, long=call.size.long) for peer in peers
         ]
-        picked = self._picker(service)(candidates, call.size.prefix)
+        choice = self._balancer(service)(candidates, call.size.prefix)
         if service.policies.admission is AdmissionPolicy.DEADLINE:
-            refusal = self._admit(call, picked.wait_ms, admitted=admitted)
+            refusal = self._check_admission(
+                call, choice.wait_ms, admitted=admitted
+            )
             if refusal is not None:
                 return refusal
-        return by_name[picked.name]
+        return by_name[choice.name]
 
-    def _admit(
+    def _check_admission(
         self,
         call: Call,
         wait_ms: float,
@@ -154,29 +163,29 @@
         demand = Demand(
             call.organisation.name,
             call.size.cost_ms,
-            call.left_ms(self._runtime.clock),
+            call.remaining_ms(self._runtime.clock),
             wait_ms,
         )
         shares = FairShares() if admitted else self._shares
         weights = self.routes.weights if self.routes else {}
         return admit(demand, shares, weights)
 
-    def _picker(self, service: Service) -> Picker:
-        pickers = self._policies.pickers
-        if service.name not in pickers:
-            pickers[service.name] = make_picker(
+    def _balancer(self, service: Service) -> Picker:
+        balancers = self._policies.balancers
+        if service.name not in balancers:
+            balancers[service.name] = make_picker(
                 service.policies.pick,
                 self._random,
             )
-        return pickers[service.name]
+        return balancers[service.name]
 
-    def _configure(self, in_force: InForce) -> None:
+    def _apply_configuration(self, in_force: InForce) -> None:
         manifest = in_force.manifest
         self._policies.routes = RouteTable(manifest)
-        self._policies.pickers.clear()
+        self._policies.balancers.clear()
         self._policies.budget.change_share(manifest.limits.retry_share)
         self._policies.max_body_bytes = manifest.limits.max_body_bytes
         self._runtime.metrics.gauge('manifest_version', in_force.version)
         self._runtime.timeline.add('manifest-in-force', str(in_force.version))
-        for peer in self._roster.peers:
-            peer.announce()
+        for peer in self._pool.peers:
+            peer.send_heartbeat()
--- a/src/amaranthrail/entry/exchange.py
+++ b/src/amaranthrail/entry/exchange.py
@@ -1,4 +1,4 @@
-"""Collect the frames of one answer in order and check that it is whole."""
+"""Assemble a sidecar's frames into a response and check that it is whole."""
 
 from __future__ import annotations
 
@@ -21,18 +21,19 @@
 from ..outcomes import Reason, Refusal, not_run, unknown
 from ..types import RequestId
 
-#: The sidecar sends at most this far past the last acknowledged byte.
+#: Body bytes between two acknowledgements. The sidecar reads only a window
+#: (run.WINDOW_BYTES) past the last acknowledged byte; this must be below it.
 ACK_EVERY_BYTES = 65_536
 
-#: The frames that open an exchange.
-Opening = Dispatch | Inquire | AskKey
+#: The frame that opens an exchange.
+OpeningFrame = Dispatch | Inquire | AskKey
 
 
 class Exchange:
-    """Hold one request in flight to a sidecar and its answer so far."""
+    """Hold one request sent to a sidecar and the response received so far."""
 
-    def __init__(self, request: RequestId, opening: Opening) -> None:
-        """Take the request's id and the frame that opened the exchange."""
+    def __init__(self, request: RequestId, opening: OpeningFrame) -> None:
+        """Take the exchange's id and the frame that opened it."""
         self._request = request
         self._opening = opening
         self._head: Head | None = None
@@ -41,88 +42,96 @@
         self._consumed = 0
         self._acked = 0
         self._digest = xxhash.xxh3_64()
-        self._whole = False
+        self._complete = False
         self._failure: Refusal | None = None
-        self._wake = trio.Event()
+        self._changed = trio.Event()
 
     @property
     def request(self) -> RequestId:
-        """Return the request's id."""
+        """Return the id that all frames of the exchange carry."""
         return self._request
 
     @property
-    def opening(self) -> Opening:
+    def opening(self) -> OpeningFrame:
         """Return the frame that opened the exchange."""
         return self._opening
 
     @property
     def received(self) -> int:
-        """Return how many bytes of the body have arrived in order."""
+        """Return the number of body bytes received without a gap."""
         return self._received
 
     @property
     def has_head(self) -> bool:
-        """Tell whether the answer has begun."""
+        """Tell whether the response's status and headers have arrived."""
         return self._head is not None
 
     @property
     def ended(self) -> bool:
-        """Tell whether nothing more can arrive."""
-        return self._whole or self._failure is not None
+        """Tell whether the response is complete or has failed."""
+        return self._complete or self._failure is not None
 
     def fail(self, failure: Refusal) -> None:
-        """End the exchange without a whole answer."""
+        """End the exchange with a failure, unless it has already ended."""
         if not self.ended:
             self._failure = failure
             self._notify()
 
-    def take(self, frame: Head | Part | End | Refused | Broken) -> None:
-        """Take the next frame of the answer; repeated bytes are dropped."""
+    def accept_frame(self, frame: Head | Part | End | Refused | Broken) -> None:
+        """Apply the next frame of the response.
+
+        Frames that are sent again after a reconnect are accepted: a second head
+        and body bytes received before are ignored.
+        """
         match frame:
             case Head():
                 if self._head is None:
                     self._head = frame
             case Part():
-                self._take_part(frame)
+                self._accept_part(frame)
             case End():
-                self._take_end(frame)
+                self._accept_end(frame)
             case Refused():
-                self._take_refused(frame)
+                self._accept_refused(frame)
             case Broken():
-                self.fail(unknown(reason_of(frame.reason), frame.detail))
+                self.fail(unknown(parse_reason(frame.reason), frame.detail))
         self._notify()
 
-    def ack(self) -> Ack | None:
-        """Return the acknowledgement that is due, if one is."""
-        due = self._consumed - self._acked >= ACK_EVERY_BYTES
-        if not due or self.ended:
+    def next_ack(self) -> Ack | None:
+        """Return the acknowledgement to send now, None if none is due.
+
+        One is due for every ``ACK_EVERY_BYTES`` bytes read from this exchange,
+        until it has ended.
+        """
+        is_due = self._consumed - self._acked >= ACK_EVERY_BYTES
+        if not is_due or self.ended:
             return None
         self._acked = self._consumed
         return Ack(self._request, self._acked)
 
     async def wait_head(self) -> Head | Refusal:
-        """Return the answer's head, or why there is none."""
+        """Wait for the response's head; return it or the failure."""
         while self._head is None and self._failure is None:
-            await self._wake.wait()
+            await self._changed.wait()
         if self._head is None:
             return self._failure or unknown(Reason.PEER_GONE)
         return self._head
 
     async def next_part(self) -> bytes | Refusal | None:
-        """Return the next bytes, None once all is there, or the failure."""
+        """Wait for body bytes; return them, None at the end, or the failure."""
         while not self._parts:
             if self._failure is not None:
                 return self._failure
-            if self._whole:
+            if self._complete:
                 return None
-            await self._wake.wait()
-        gathered = b''.join(self._parts)
+            await self._changed.wait()
+        payload = b''.join(self._parts)
         self._parts.clear()
-        self._consumed += len(gathered)
-        return gathered
+        self._consumed += len(payload)
+        return payload
 
-    async def read_rest(self) -> bytes | Refusal:
-        """Return the whole body, or the failure."""
+    async def read_body(self) -> bytes | Refusal:
+        """Wait for the complete body; return it or the failure."""
         body = bytearray()
         while True:
             part = await self.next_part()
@@ -132,43 +141,46 @@
                 return part
             body += part
 
-    def _take_part(self, part: Part) -> None:
+    def _accept_part(self, part: Part) -> None:
         if part.offset > self._received:
             gap = f'bytes {self._received} to {part.offset} are missing'
             self.fail(unknown(Reason.UPSTREAM_BROKEN, gap))
             return
-        fresh = part.payload[self._received - part.offset :]
-        if fresh:
-            self._digest.update(fresh)
-            self._received += len(fresh)
-            self._parts.append(fresh)
+        new_bytes = part.payload[self._received - part.offset :]
+        if new_bytes:
+            self._digest.update(new_bytes)
+            self._received += len(new_bytes)
+            self._parts.append(new_bytes)
 
-    def _take_end(self, end: End) -> None:
+    def _accept_end(self, end: End) -> None:
         same_length = end.length == self._received
         if same_length and end.digest == self._digest.intdigest():
-            self._whole = self._failure is None
+            self._complete = self._failure is None
             return
         self.fail(unknown(Reason.UPSTREAM_BROKEN, 'length or digest differs'))
 
-    def _take_refused(self, refused: Refused) -> None:
+    def _accept_refused(self, refused: Refused) -> None:
         if self._head is not None:
             self.fail(unknown(Reason.UPSTREAM_BROKEN, 'refused after start'))
             return
         self.fail(
             not_run(
-                reason_of(refused.reason),
+                parse_reason(refused.reason),
                 refused.detail,
                 refused.retry_after_ms or None,
             ),
         )
 
     def _notify(self) -> None:
-        self._wake.set()
-        self._wake = trio.Event()
+        self._changed.set()
+        self._changed = trio.Event()
+
 
+def parse_reason(text: str) -> Reason:
+    """Return the reason named by a frame.
 
-def reason_of(text: str) -> Reason:
-    """Return the reason that a frame names."""
+    A reason that this version does not know becomes ``upstream-broken``.
+    """
     try:
         return Reason(text)
     except ValueError:
--- a/src/amaranthrail/entry/forward.py
+++ b/src/amaranthrail/entry/forward.py
@@ -1,4 +1,4 @@
-"""Forward idempotent work, retry within the budget, relay the answer."""
+"""Forward idempotent requests and retry them within the retry budget."""
 
 from __future__ import annotations
 
@@ -10,17 +10,18 @@
 from ..frames import Head
 from ..outcomes import Outcome, Reason, Refusal, not_run, unknown
 from ..types import HeaderList
-from .call import Call, Target, make_dispatch
-from .core import EntryCore
+from .call import Call, DispatchTarget, make_dispatch
+from .context import EntryContext
 from .exchange import Exchange
 from .peers import Peer
 
-MAX_TRIES = 3
+MAX_ATTEMPTS = 3
 _STREAM_TYPE = 'text/event-stream'
 _LAST_EVENT = b'data: [DONE]\n\n'
-#: Refusals that come of news crossing on the way; another try is no retry in
-#: the sense of the budget, since nothing was asked of an upstream.
-_FREE_REASONS = frozenset(
+#: Refusals because the configuration or the sidecar changed while the dispatch
+#: was on its way. The upstream got no request, so that another attempt is not
+#: charged to the retry budget.
+_UNBUDGETED_REASONS = frozenset(
     (
         Reason.STALE_MANIFEST,
         Reason.STALE_DISPATCH,
@@ -34,59 +35,62 @@
 )
 
 
-async def forward(core: EntryCore, call: Call, reply: Reply) -> None:
-    """Answer a caller's idempotent request, trying more than once if needed.
+async def forward(context: EntryContext, call: Call, reply: Reply) -> None:
+    """Forward a call, retrying at other replicas, and send the response.
 
-    Once bytes have gone to the caller there is no other try: an answer that
-    breaks then ends cut, and visibly so.
+    There are at most ``MAX_ATTEMPTS`` attempts. Once bytes have gone to the
+    caller there is no retry: a response that fails then ends without its last
+    chunk, so that the caller can tell that it is truncated.
     """
-    core.budget.earn()
+    context.budget.earn()
     excluded: frozenset[str] = frozenset()
     failure: Refusal | None = None
-    for _ in range(MAX_TRIES):
-        chosen = core.choose(call, excluded, admitted=failure is not None)
-        if isinstance(chosen, Refusal):
-            failure = failure or chosen
+    for _ in range(MAX_ATTEMPTS):
+        peer = context.choose_peer(call, excluded, admitted=failure is not None)
+        if isinstance(peer, Refusal):
+            failure = failure or peer
             break
-        failure = await _try_once(core, call, chosen, reply)
+        failure = await _attempt_once(context, call, peer, reply)
         if failure is None or reply.started:
             return
-        if not _may_retry(core, failure):
+        if not _can_retry(context, failure):
             break
-        core.runtime.metrics.count('retries', reason=failure.reason.value)
-        excluded |= {chosen.name}
+        context.runtime.metrics.count('retries', reason=failure.reason.value)
+        excluded |= {peer.name}
     await send_refusal(
         reply,
         failure or not_run(Reason.NO_CAPACITY),
-        _labels(call),
+        _request_id_header(call),
     )
 
 
-def _may_retry(core: EntryCore, failure: Refusal) -> bool:
+def _can_retry(context: EntryContext, failure: Refusal) -> bool:
     if failure.reason in _FINAL_REASONS:
         return False
-    return failure.reason in _FREE_REASONS or core.budget.spend()
+    return failure.reason in _UNBUDGETED_REASONS or context.budget.spend()
 
 
-async def _try_once(
-    core: EntryCore,
+async def _attempt_once(
+    context: EntryContext,
     call: Call,
     peer: Peer,
     reply: Reply,
 ) -> Refusal | None:
-    clock = core.runtime.clock
-    target = Target(peer.incarnation or '', core.runtime.configuration.version)
+    clock = context.runtime.clock
+    target = DispatchTarget(
+        peer.incarnation or '', context.runtime.configuration.version
+    )
     exchange = peer.dispatch(partial(make_dispatch, call, clock, target))
     failure: Refusal | None = None
-    expired = True
+    has_expired = True
     try:
-        with move_on_after(call.left_ms(clock)):
+        with move_on_after(call.remaining_ms(clock)):
             failure = await _relay(peer, exchange, call, reply)
-            expired = False
+            has_expired = False
     finally:
         peer.close(exchange, cancel=True)
-    if expired:
-        return unknown(Reason.EXPIRED, 'no whole answer by the deadline')
+    if has_expired:
+        return unknown(Reason.EXPIRED, 'no complete response by the deadline')
     return failure
 
 
@@ -101,14 +105,14 @@
         return head
     if _is_stream(head):
         return await _relay_stream(peer, exchange, head, call, reply)
-    body = await _gather(peer, exchange)
+    body = await _read_body(peer, exchange)
     if isinstance(body, Refusal):
         return body
-    await reply.whole(head.status, answer_headers(head.headers, call), body)
+    await reply.whole(head.status, response_headers(head.headers, call), body)
     return None
 
 
-async def _gather(peer: Peer, exchange: Exchange) -> bytes | Refusal:
+async def _read_body(peer: Peer, exchange: Exchange) -> bytes | Refusal:
     body = bytearray()
     while True:
         part = await exchange.next_part()
@@ -127,29 +131,32 @@
     call: Call,
     reply: Reply,
 ) -> Refusal | None:
-    await reply.start(head.status, answer_headers(head.headers, call))
-    held = b''
+    await reply.start(head.status, response_headers(head.headers, call))
+    withheld = b''
     while True:
         part = await exchange.next_part()
         if isinstance(part, Refusal):
             return part
         if part is None:
             break
-        ready, held = _hold_last_event(held + part)
-        if ready:
-            await reply.part(ready)
+        events, withheld = _split_last_event(withheld + part)
+        if events:
+            await reply.part(events)
         peer.acknowledge(exchange)
-    if held:
-        await reply.part(held)
+    if withheld:
+        await reply.part(withheld)
     await reply.finish()
     return None
 
 
-def _hold_last_event(payload: bytes) -> tuple[bytes, bytes]:
-    """Keep back the event that says the answer is whole until it is."""
+def _split_last_event(payload: bytes) -> tuple[bytes, bytes]:
+    """Split off a final ``[DONE]`` event, which marks a complete stream.
+
+    It is sent only once the whole response has been received.
+    """
     if payload.endswith(_LAST_EVENT):
-        cut = len(payload) - len(_LAST_EVENT)
-        return payload[:cut], payload[cut:]
+        end = len(payload) - len(_LAST_EVENT)
+        return payload[:end], payload[end:]
     return payload, b''
 
 
@@ -160,11 +167,11 @@
     )
 
 
-def answer_headers(headers: HeaderList, call: Call) -> HeaderList:
-    """Return the header fields of an answer that ran."""
-    ran = ('x-outcome', Outcome.RAN.value)
-    return (*headers, ran, *_labels(call))
+def response_headers(headers: HeaderList, call: Call) -> HeaderList:
+    """Return the header fields for a response of a request that ran."""
+    outcome = ('x-outcome', Outcome.RAN.value)
+    return (*headers, outcome, *_request_id_header(call))
 
 
-def _labels(call: Call) -> HeaderList:
-    return (('x-request-id', call.label),)
+def _request_id_header(call: Call) -> HeaderList:
+    return (('x-request-id', call.request_id),)
--- a/src/amaranthrail/entry/inflight.py
+++ b/src/amaranthrail/entry/inflight.py
@@ -1,4 +1,4 @@
-"""Hold the exchanges of one peer and hand them the frames that arrive."""
+"""Track the exchanges in flight to one peer and deliver frames to them."""
 
 from __future__ import annotations
 
@@ -23,85 +23,91 @@
 
 
 class EventsWaiter:
-    """Wait for a peer's time line."""
+    """Wait for the timeline events requested from a peer."""
 
     def __init__(self) -> None:
-        """Start with nothing arrived."""
+        """Start without events."""
         self._arrived = trio.Event()
         self._events: list[Event] = []
 
     @property
     def events(self) -> list[Event]:
-        """Return what has arrived."""
+        """Return the events received, empty before the response."""
         return self._events
 
-    def take(self, payload: bytes) -> None:
-        """Take the events of a frame."""
+    def deliver(self, payload: bytes) -> None:
+        """Decode the events of a frame and wake the waiter."""
         self._events.extend(decode_events(payload))
         self._arrived.set()
 
     async def wait(self) -> None:
-        """Return once the events have arrived."""
+        """Wait until the events have been received."""
         await self._arrived.wait()
 
 
 class InFlight:
-    """Know what has been asked of one sidecar and not ended yet."""
+    """Map request ids to the open exchanges and event waiters of one peer."""
 
     def __init__(self, metrics: Metrics) -> None:
-        """Take where frames for unknown requests are counted."""
+        """Take the metrics, which count frames for unknown requests."""
         self._metrics = metrics
         self._exchanges: dict[str, Exchange] = {}
         self._waiters: dict[str, EventsWaiter] = {}
 
     def __len__(self) -> int:
-        """Return how many exchanges have not been closed."""
+        """Return the number of open exchanges."""
         return len(self._exchanges)
 
     def add(self, exchange: Exchange) -> None:
-        """Hand on to an exchange what arrives for it."""
+        """Deliver the frames of an exchange's request id to it from now on."""
         self._exchanges[exchange.request] = exchange
 
     def remove(self, exchange: Exchange) -> None:
-        """Forget an exchange."""
+        """Stop delivering frames to an exchange."""
         self._exchanges.pop(exchange.request, None)
 
     def add_waiter(self, request: str) -> EventsWaiter:
-        """Return who takes the events that answer a request."""
+        """Return a new waiter for the events requested under an id."""
         waiter = EventsWaiter()
         self._waiters[request] = waiter
         return waiter
 
     def remove_waiter(self, request: str) -> None:
-        """Forget who waits for events."""
+        """Stop waiting for the events of a request."""
         self._waiters.pop(request, None)
 
-    def take(self, frame: Head | Part | End | Refused | Broken) -> None:
-        """Hand on a frame; one for an unknown request is dropped."""
+    def deliver(self, frame: Head | Part | End | Refused | Broken) -> None:
+        """Deliver a frame to its exchange.
+
+        A frame for an unknown request, such as one that arrives after its
+        exchange was closed, is dropped and counted.
+        """
         exchange = self._exchanges.get(frame.request)
         if exchange is None:
             self._metrics.count('frames_unknown')
             return
-        exchange.take(frame)
+        exchange.accept_frame(frame)
 
-    def take_events(self, frame: Events) -> None:
-        """Hand on a peer's time line."""
+    def deliver_events(self, frame: Events) -> None:
+        """Deliver a frame of timeline events, if its waiter still waits."""
         waiter = self._waiters.get(frame.request)
         if waiter is not None:
-            waiter.take(frame.payload)
+            waiter.deliver(frame.payload)
 
-    def resumptions(self) -> list[Resume | Inquire | AskKey]:
-        """Return the frames that go on with all exchanges on a new link."""
-        return [_resumption(one) for one in self._exchanges.values()]
+    def resume_frames(self) -> list[Resume | Inquire | AskKey]:
+        """Return the frames that resume all exchanges on a new connection."""
+        return [
+            _resume_frame(exchange) for exchange in self._exchanges.values()
+        ]
 
     def fail_all(self, failure: Refusal) -> None:
-        """End all exchanges without a whole answer."""
+        """End all exchanges with a failure and forget them."""
         for exchange in self._exchanges.values():
             exchange.fail(failure)
         self._exchanges.clear()
 
 
-def _resumption(exchange: Exchange) -> Resume | Inquire | AskKey:
+def _resume_frame(exchange: Exchange) -> Resume | Inquire | AskKey:
     opening = exchange.opening
     if isinstance(opening, AskKey):
         return opening
--- a/src/amaranthrail/entry/inquiries.py
+++ b/src/amaranthrail/entry/inquiries.py
@@ -1,4 +1,4 @@
-"""Ask sidecars what became of keyed work."""
+"""Inquire of sidecars about the outcome of keyed attempts."""
 
 from __future__ import annotations
 
@@ -9,85 +9,102 @@
 from ..outcomes import Outcome, Reason, Refusal, unknown
 from ..records import Intent
 from .call import Call
-from .conclusions import Answer
-from .core import EntryCore
+from .conclusions import CallResult
+from .context import EntryContext
 from .exchange import Exchange
 from .peers import Peer
 
-ASK_TIMEOUT_MS = 1500.0
+INQUIRY_TIMEOUT_MS = 1500.0
 
 
-class Inquiries:
-    """Put an entry's questions to sidecars."""
+class SidecarInquiries:
+    """Send inquiries to sidecars and collect their results."""
 
-    def __init__(self, core: EntryCore) -> None:
-        """Take the entry's parts."""
-        self._core = core
+    def __init__(self, context: EntryContext) -> None:
+        """Take the entry's context, for its peers."""
+        self._context = context
 
-    async def collect(
+    async def collect_result(
         self,
         peer: Peer,
         exchange: Exchange,
-        bound_ms: float,
-    ) -> Answer:
-        """Return the whole answer of an exchange, or why there is none."""
-        answer: Answer = unknown(Reason.PEER_GONE, 'no answer in time')
+        timeout_ms: float,
+    ) -> CallResult:
+        """Wait for an exchange's response and close the exchange.
+
+        Return ``peer-gone`` when it is not complete after ``timeout_ms``.
+        """
+        call_result: CallResult = unknown(
+            Reason.PEER_GONE, 'no response in time'
+        )
         try:
-            with move_on_after(bound_ms):
-                answer = await _read_answer(exchange)
+            with move_on_after(timeout_ms):
+                call_result = await _read_response(exchange)
         finally:
             peer.close(exchange, cancel=False)
-        return answer
+        return call_result
 
-    async def ask_intent(
+    async def inquire_intent(
         self,
         peer: Peer | None,
         intent: Intent,
-    ) -> Answer | None:
-        """Return what a sidecar says, None where it cannot be asked now."""
+    ) -> CallResult | None:
+        """Inquire about an attempt, voiding it if it has not started.
+
+        Return None when the sidecar is not connected or does not respond.
+        """
         if peer is None or not peer.connected:
             return None
-        exchange = peer.inquire(intent.id)
-        answer = await self.collect(peer, exchange, ASK_TIMEOUT_MS)
-        gone = isinstance(answer, Refusal) and answer.reason is Reason.PEER_GONE
-        return None if gone else answer
-
-    async def ask_key(self, call: Call) -> Answer | None:
-        """Return what any sidecar of the service knows of a call's key.
-
-        All are asked at once; None where none of them has had the key.
+        exchange = peer.inquire_intent(intent.id)
+        call_result = await self.collect_result(
+            peer, exchange, INQUIRY_TIMEOUT_MS
+        )
+        is_gone = (
+            isinstance(call_result, Refusal)
+            and call_result.reason is Reason.PEER_GONE
+        )
+        return None if is_gone else call_result
+
+    async def inquire_key(self, call: Call) -> CallResult | None:
+        """Inquire about a call's key at all connected sidecars of the service.
+
+        The inquiries run concurrently and void nothing. The first response of a
+        request that ran ends the others. Return None when no sidecar knows the
+        key.
         """
-        told: list[Answer] = []
+        call_results: list[CallResult] = []
         async with trio.open_nursery() as nursery:
 
-            async def ask(peer: Peer) -> None:
-                exchange = peer.ask_key(call.key or '')
-                answer = await self.collect(peer, exchange, ASK_TIMEOUT_MS)
-                told.append(answer)
-                if isinstance(answer, HttpAnswer):
+            async def inquire(peer: Peer) -> None:
+                exchange = peer.inquire_key(call.key or '')
+                call_result = await self.collect_result(
+                    peer, exchange, INQUIRY_TIMEOUT_MS
+                )
+                call_results.append(call_result)
+                if isinstance(call_result, HttpAnswer):
                     nursery.cancel_scope.cancel()
 
-            for peer in self._core.roster.connected(call.route.service.name):
-                nursery.start_soon(ask, peer)
-        return _most_certain(told)
+            for peer in self._context.pool.connected(call.route.service.name):
+                nursery.start_soon(inquire, peer)
+        return _most_certain(call_results)
 
 
-def _most_certain(told: list[Answer]) -> Answer | None:
-    """Return an answer that ran, else a doubt, else None."""
-    doubt: Answer | None = None
-    for answer in told:
-        if isinstance(answer, HttpAnswer):
-            return answer
-        if answer.outcome is Outcome.UNKNOWN:
-            doubt = answer
-    return doubt
+def _most_certain(call_results: list[CallResult]) -> CallResult | None:
+    """Return a response if there is one, else an unknown outcome, else None."""
+    uncertain: CallResult | None = None
+    for call_result in call_results:
+        if isinstance(call_result, HttpAnswer):
+            return call_result
+        if call_result.outcome is Outcome.UNKNOWN:
+            uncertain = call_result
+    return uncertain
 
 
-async def _read_answer(exchange: Exchange) -> Answer:
+async def _read_response(exchange: Exchange) -> CallResult:
     head = await exchange.wait_head()
     if isinstance(head, Refusal):
         return head
-    body = await exchange.read_rest()
+    body = await exchange.read_body()
     if isinstance(body, Refusal):
         return body
     return HttpAnswer(head.status, head.headers, body)
--- a/src/amaranthrail/entry/keyedrequests.py
+++ b/src/amaranthrail/entry/keyedrequests.py
@@ -1,4 +1,4 @@
-"""Run work that must not repeat, at most once, and lose none silently."""
+"""Run keyed (non-idempotent) requests at most once and record how they end."""
 
 from __future__ import annotations
 
@@ -13,20 +13,27 @@
 from ..outcomes import Outcome, Reason, Refusal, not_run, unknown
 from ..records import FilingState, Intent, Resolution
 from ..types import FilingKey
-from .call import Call, Target, make_dispatch
-from .conclusions import Answer, Conclusions, key_reused, recorded_answer
-from .core import EntryCore
-from .inquiries import Inquiries
+from .call import Call, DispatchTarget, make_dispatch
+from .conclusions import (
+    CallResult,
+    ConclusionRecorder,
+    key_reused_refusal,
+    recorded_result,
+)
+from .context import EntryContext
+from .inquiries import SidecarInquiries
 from .keytable import KeyRecord
 from .peers import Peer
-from .settlement import RECORD_WAIT_MS, Settlement
-
-#: How long another entry's intent is left alone before its sidecar is asked.
-ATTACH_WAIT_MS = 1000.0
-#: What is left of a deadline to tell a caller that nothing was recorded.
-REFUSAL_MS = 100.0
-#: An intent claimed later than this after it was made is not dispatched. A
-#: sidecar remembers a void for longer than that (gate.VOID_KEPT_MS).
+from .settlement import RECORD_WAIT_MS, AttemptSettlement
+
+#: How long another entry may take to conclude its intent before its sidecar is
+#: asked.
+OWNER_WAIT_MS = 1000.0
+#: Time kept of a call's deadline to tell the caller that nothing was recorded.
+REFUSAL_RESERVE_MS = 100.0
+#: An intent claimed later than this after its creation is not dispatched. A
+#: sidecar remembers voided intents for longer (gate.VOID_KEPT_MS), so that none
+#: is dispatched after the sidecar has forgotten that it was voided.
 MAX_CLAIM_MS = 4500.0
 MAX_ATTEMPTS = 3
 _SWEEP_MS = 500.0
@@ -34,30 +41,31 @@
 
 @dataclass(slots=True)
 class _Job:
-    """Share one key's work between the callers who ask for it here.
+    """Share the work on one key between all its concurrent callers here.
 
-    ``deadline`` is that of the caller who began it, in monotonic milliseconds.
+    ``deadline`` is the deadline of the call that started the job, in monotonic
+    milliseconds.
     """
 
     digest: str
     done: trio.Event
-    answer: Answer
+    call_result: CallResult
     deadline: float = 0
 
 
 class KeyedRequests:
-    """Own the keyed work of one entry."""
+    """Run the keyed requests of one entry, one job for each key."""
 
-    def __init__(self, core: EntryCore, nursery: trio.Nursery) -> None:
-        """Take the nursery in which work outlives its caller's connection."""
-        self._core = core
-        self._runtime = core.runtime
-        self._ledger = core.shards.ledger
+    def __init__(self, context: EntryContext, nursery: trio.Nursery) -> None:
+        """Take the nursery for jobs, which go on when a caller disconnects."""
+        self._context = context
+        self._runtime = context.runtime
+        self._key_table = context.shards.key_table
         self._nursery = nursery
-        self._conclusions = Conclusions(core.runtime, core.shards)
-        self._inquiries = Inquiries(core)
-        self._settlement = Settlement(
-            core,
+        self._conclusions = ConclusionRecorder(context.runtime, context.shards)
+        self._inquiries = SidecarInquiries(context)
+        self._settlement = AttemptSettlement(
+            context,
             self._conclusions,
             self._inquiries,
         )
@@ -65,11 +73,16 @@
 
     @property
     def in_progress(self) -> int:
-        """Return how many keys are being worked on here."""
+        """Return the number of keys with a running job."""
         return len(self._jobs)
 
-    async def file(self, call: Call) -> Answer:
-        """Return the answer to a keyed request, now or from the record."""
+    async def execute(self, call: Call) -> CallResult:
+        """Return the result of a keyed request, new or from its record.
+
+        Concurrent calls with one key share a job. When a job has run nothing
+        only because its first call's deadline was near, a call with a later
+        deadline starts another job.
+        """
         key = call.key
         if key is None:
             return not_run(
@@ -79,29 +92,31 @@
             )
         digest = request_digest(call)
         while True:
-            job = self._join(key, call, digest)
+            job = self._join_job(key, call, digest)
             if job.digest != digest:
-                return key_reused(key)
-            with move_on_after(call.left_ms(self._runtime.clock)):
+                return key_reused_refusal(key)
+            with move_on_after(call.remaining_ms(self._runtime.clock)):
                 await job.done.wait()
             if not job.done.is_set():
-                return unknown(Reason.STILL_RUNNING, 'ask again with this key')
-            if not _ended_early(job, call):
-                return job.answer
+                return unknown(Reason.STILL_RUNNING, 'retry with the same key')
+            if not _ended_by_earlier_deadline(job, call):
+                return job.call_result
 
-    async def sweep(self) -> None:
-        """Settle, for good, open keys that nobody has concluded in time."""
+    async def settle_overdue(self) -> None:
+        """Settle the open keys that no entry has concluded in time, forever."""
         while True:
             await sleep(_SWEEP_MS)
-            self._core.shards.forget_expired()
-            for filing in self._ledger.open():
-                key = FilingKey(filing.intent.key)
-                overdue = self._settlement.is_overdue(filing)
-                if overdue and key not in self._jobs:
-                    unsure = unknown(Reason.STILL_RUNNING)
-                    job = _Job(filing.intent.digest, trio.Event(), unsure)
+            self._context.shards.forget_expired()
+            for record in self._key_table.open_records():
+                key = FilingKey(record.intent.key)
+                is_overdue = self._settlement.is_overdue(record)
+                if is_overdue and key not in self._jobs:
+                    still_running = unknown(Reason.STILL_RUNNING)
+                    job = _Job(
+                        record.intent.digest, trio.Event(), still_running
+                    )
                     self._jobs[key] = job
-                    self._nursery.start_soon(self._settle_overdue, key, job)
+                    self._nursery.start_soon(self._settle_job, key, job)
 
     async def resolve(
         self,
@@ -110,128 +125,138 @@
         author: str,
         timeout_ms: float,
     ) -> bool:
-        """Close a lost key by an operator's word; tell if it is recorded."""
-        filing = self._ledger.find(key)
-        if filing is None or filing.state is not FilingState.LOST:
+        """Record an operator's resolution of a lost key.
+
+        ``state`` is ``RAN`` or ``VOID``. Return True once the log shows the key
+        in this state, False for a key that is not lost or after ``timeout_ms``.
+        """
+        record = self._key_table.find(key)
+        if record is None or record.state is not FilingState.LOST:
             return False
-        self._core.shards.add(
+        self._context.shards.add(
             Resolution(
                 key=key,
-                intent=filing.intent.id,
+                intent=record.intent.id,
                 state=state,
                 author=author,
             ),
         )
         with move_on_after(timeout_ms):
             while self._state_of(key) is FilingState.LOST:
-                await self._ledger.wait_changed()
+                await self._key_table.wait_changed()
         return self._state_of(key) is state
 
-    def _join(self, key: FilingKey, call: Call, digest: str) -> _Job:
-        """Return the work on a key, begun by this call if there is none."""
+    def _join_job(self, key: FilingKey, call: Call, digest: str) -> _Job:
+        """Return the job of a key, started for this call if there is none."""
         job = self._jobs.get(key)
         if job is None:
             refusal = not_run(
-                Reason.LOG_UNAVAILABLE, 'the log has not answered'
+                Reason.LOG_UNAVAILABLE, 'no response from the log'
             )
             job = _Job(digest, trio.Event(), refusal, call.deadline)
             self._jobs[key] = job
-            self._nursery.start_soon(self._work, key, call, job)
+            self._nursery.start_soon(self._run_job, key, call, job)
         return job
 
     def _state_of(self, key: FilingKey) -> FilingState | None:
-        filing = self._ledger.find(key)
-        return None if filing is None else filing.state
+        record = self._key_table.find(key)
+        return None if record is None else record.state
 
-    async def _settle_overdue(self, key: FilingKey, job: _Job) -> None:
-        filing = self._ledger.find(key)
-        if filing is not None and filing.state is FilingState.OPEN:
-            job.answer = await self._settlement.settle(filing.intent)
-        self._finish(key, job)
+    async def _settle_job(self, key: FilingKey, job: _Job) -> None:
+        record = self._key_table.find(key)
+        if record is not None and record.state is FilingState.OPEN:
+            job.call_result = await self._settlement.settle(record.intent)
+        self._finish_job(key, job)
 
-    async def _work(self, key: FilingKey, call: Call, job: _Job) -> None:
-        job.answer = await self._answer(key, call, job.digest)
-        self._finish(key, job)
+    async def _run_job(self, key: FilingKey, call: Call, job: _Job) -> None:
+        job.call_result = await self._run_attempts(key, call, job.digest)
+        self._finish_job(key, job)
 
-    def _finish(self, key: FilingKey, job: _Job) -> None:
+    def _finish_job(self, key: FilingKey, job: _Job) -> None:
         self._jobs.pop(key, None)
         job.done.set()
 
-    async def _answer(self, key: FilingKey, call: Call, digest: str) -> Answer:
-        if not await self._caught_up(key, call):
-            return await self._unrecorded(call, 'the log cannot be read')
-        outcome: Answer = not_run(Reason.NO_CAPACITY)
+    async def _run_attempts(
+        self, key: FilingKey, call: Call, digest: str
+    ) -> CallResult:
+        if not await self._wait_caught_up(key, call):
+            return await self._inquire_or_refuse(call, 'the log cannot be read')
+        call_result: CallResult = not_run(Reason.NO_CAPACITY)
         for _ in range(MAX_ATTEMPTS):
-            filing = self._ledger.find(key)
-            if filing is not None and filing.state is not FilingState.VOID:
-                return await self._attach(filing, digest)
-            outcome = await self._attempt(key, call, digest)
-            if not _may_try_again(outcome):
+            record = self._key_table.find(key)
+            if record is not None and record.state is not FilingState.VOID:
+                return await self._result_of_claimed(record, digest)
+            call_result = await self._claim_and_dispatch(key, call, digest)
+            if not _can_retry(call_result):
                 break
             self._runtime.metrics.count('filing_attempts_again')
-        return outcome
+        return call_result
 
-    async def _caught_up(self, key: FilingKey, call: Call) -> bool:
+    async def _wait_caught_up(self, key: FilingKey, call: Call) -> bool:
         with move_on_after(self._record_wait_ms(call)):
-            await self._core.shards.wait_caught_up(key)
+            await self._context.shards.wait_caught_up(key)
             return True
         return False
 
     def _record_wait_ms(self, call: Call) -> float:
-        left_ms = call.left_ms(self._runtime.clock)
-        return min(RECORD_WAIT_MS, left_ms - REFUSAL_MS)
+        remaining_ms = call.remaining_ms(self._runtime.clock)
+        return min(RECORD_WAIT_MS, remaining_ms - REFUSAL_RESERVE_MS)
 
-    async def _unrecorded(self, call: Call, detail: str) -> Answer:
-        """Answer while the record cannot be trusted to be up to date.
+    async def _inquire_or_refuse(self, call: Call, detail: str) -> CallResult:
+        """Answer while the key's record may be out of date.
 
-        The request itself is not run, but its key may have been, at another
-        entry: a sidecar that knows the key has the answer.
+        This request is not run, but its key may have run through another
+        entry: a sidecar that knows the key has the response.
         """
-        known = await self._inquiries.ask_key(call)
-        if known is not None:
-            return known
+        call_result = await self._inquiries.inquire_key(call)
+        if call_result is not None:
+            return call_result
         return not_run(Reason.LOG_UNAVAILABLE, detail, int(MS_PER_SECOND))
 
-    async def _attach(self, filing: KeyRecord, digest: str) -> Answer:
-        """Return what became of an attempt that was claimed before."""
-        if filing.intent.digest != digest:
-            return key_reused(FilingKey(filing.intent.key))
-        if filing.state is FilingState.OPEN:
-            return await self._follow(filing.intent)
-        return recorded_answer(filing)
-
-    async def _follow(self, intent: Intent) -> Answer:
-        """Wait for its owner to conclude an attempt, then ask the sidecar."""
+    async def _result_of_claimed(
+        self, record: KeyRecord, digest: str
+    ) -> CallResult:
+        """Return the result of the attempt that already holds the key."""
+        if record.intent.digest != digest:
+            return key_reused_refusal(FilingKey(record.intent.key))
+        if record.state is FilingState.OPEN:
+            return await self._await_conclusion(record.intent)
+        return recorded_result(record)
+
+    async def _await_conclusion(self, intent: Intent) -> CallResult:
+        """Wait for the claiming entry's conclusion, then ask the sidecar."""
         key = FilingKey(intent.key)
-        if not await self._settlement.wait_concluded(intent, ATTACH_WAIT_MS):
+        if not await self._settlement.wait_concluded(intent, OWNER_WAIT_MS):
             return await self._settlement.settle(intent)
-        filing = self._ledger.find(key)
-        if filing is None:
+        record = self._key_table.find(key)
+        if record is None:
             return unknown(Reason.KEY_LOST, 'the record has expired')
-        return recorded_answer(filing)
+        return recorded_result(record)
 
-    async def _attempt(
+    async def _claim_and_dispatch(
         self,
         key: FilingKey,
         call: Call,
         digest: str,
-    ) -> Answer:
-        peer = self._core.choose(call, frozenset())
+    ) -> CallResult:
+        peer = self._context.choose_peer(call, frozenset())
         if isinstance(peer, Refusal):
             return peer
-        if not self._core.shards.reachable:
-            return await self._unrecorded(call, 'the log cannot be reached')
-        began = self._runtime.clock.now()
+        if not self._context.shards.reachable:
+            return await self._inquire_or_refuse(
+                call, 'the log cannot be reached'
+            )
+        started_at = self._runtime.clock.now()
         intent = self._make_intent(key, call, digest, peer)
-        self._core.shards.add(intent)
+        self._context.shards.add(intent)
         claimed = await self._wait_claimed(intent, call)
         if claimed is None:
-            # Only this entry may dispatch the intent and it never will.
-            self._conclusions.void(intent, 'not recorded in time')
-            return await self._unrecorded(call, 'not recorded in time')
+            # Only this entry may dispatch the intent, and it will not.
+            self._conclusions.record_void(intent, 'not recorded in time')
+            return await self._inquire_or_refuse(call, 'not recorded in time')
         if claimed.intent.id != intent.id:
-            return await self._attach(claimed, digest)
-        return await self._dispatch(intent, call, peer, began)
+            return await self._result_of_claimed(claimed, digest)
+        return await self._dispatch(intent, call, peer, started_at)
 
     def _make_intent(
         self,
@@ -240,32 +265,35 @@
         digest: str,
         peer: Peer,
     ) -> Intent:
-        known = self._ledger.find(key)
-        left_ms = call.left_ms(self._runtime.clock)
+        previous = self._key_table.find(key)
+        remaining_ms = call.remaining_ms(self._runtime.clock)
         return Intent(
             key=key,
             id=uuid.uuid4().hex,
-            attempt=1 if known is None else known.intent.attempt + 1,
+            attempt=1 if previous is None else previous.intent.attempt + 1,
             digest=digest,
             service=call.route.service.name,
             upstream=peer.name,
             incarnation=peer.incarnation or '',
             entry=self._runtime.incarnation,
-            deadline=self._runtime.clock.wall() + int(left_ms),
+            deadline=self._runtime.clock.wall() + int(remaining_ms),
             operation=call.operation_name,
         )
 
     async def _wait_claimed(
         self, intent: Intent, call: Call
     ) -> KeyRecord | None:
-        """Return who holds the key once the intent's place is known."""
+        """Return the key's record once it shows who holds the key.
+
+        Return None when the intent is not read back in time.
+        """
         with move_on_after(self._record_wait_ms(call)):
             while True:
-                filing = self._ledger.find(FilingKey(intent.key))
-                is_newer = filing and filing.intent.attempt >= intent.attempt
-                if filing is not None and is_newer:
-                    return filing
-                await self._ledger.wait_changed()
+                record = self._key_table.find(FilingKey(intent.key))
+                is_newer = record and record.intent.attempt >= intent.attempt
+                if record is not None and is_newer:
+                    return record
+                await self._key_table.wait_changed()
         return None
 
     async def _dispatch(
@@ -273,43 +301,53 @@
         intent: Intent,
         call: Call,
         peer: Peer,
-        began: float,
-    ) -> Answer:
-        # A process that was paused in between must not dispatch: the sidecar
-        # may have voided the intent and forgotten that again.
-        claimed_ms = self._runtime.clock.now() - began
-        late = (
-            claimed_ms > MAX_CLAIM_MS or self._conclusions.left_ms(intent) <= 0
+        started_at: float,
+    ) -> CallResult:
+        # An entry that was paused since the claim must not dispatch: the
+        # sidecar may have voided the intent and already forgotten the void.
+        elapsed_ms = self._runtime.clock.now() - started_at
+        is_late = (
+            elapsed_ms > MAX_CLAIM_MS
+            or self._conclusions.remaining_ms(intent) <= 0
         )
-        moved = peer.incarnation != intent.incarnation
-        if late or moved or not peer.takes_work:
-            self._conclusions.void(intent, 'never dispatched')
-            return await self._settlement.voided(
+        is_restarted = peer.incarnation != intent.incarnation
+        if is_late or is_restarted or not peer.accepts_work:
+            self._conclusions.record_void(intent, 'never dispatched')
+            return await self._settlement.confirm_void(
                 intent, Reason.WRONG_INCARNATION
             )
         version = self._runtime.configuration.version
-        target = Target(intent.incarnation, version, intent.id)
+        target = DispatchTarget(intent.incarnation, version, intent.id)
         clock = self._runtime.clock
         exchange = peer.dispatch(partial(make_dispatch, call, clock, target))
-        where = f'{intent.key} to {peer.name}'
-        self._runtime.timeline.add('filing-dispatched', intent.id, where)
-        answer = await self._inquiries.collect(
-            peer, exchange, self._conclusions.left_ms(intent)
+        detail = f'{intent.key} to {peer.name}'
+        self._runtime.timeline.add('filing-dispatched', intent.id, detail)
+        call_result = await self._inquiries.collect_result(
+            peer, exchange, self._conclusions.remaining_ms(intent)
         )
-        return await self._settlement.take_outcome(intent, answer)
+        return await self._settlement.conclude(intent, call_result)
+
 
+def _ended_by_earlier_deadline(job: _Job, call: Call) -> bool:
+    """Tell whether a job ran nothing only because of its first call's deadline.
 
-def _ended_early(job: _Job, call: Call) -> bool:
-    """Tell whether only its beginner's deadline has ended the work."""
-    answer = job.answer
-    if not isinstance(answer, Refusal) or answer.outcome is not Outcome.NOT_RUN:
+    True when it lacked time and this call's deadline is later.
+    """
+    call_result = job.call_result
+    if (
+        not isinstance(call_result, Refusal)
+        or call_result.outcome is not Outcome.NOT_RUN
+    ):
         return False
-    timed = answer.reason in {Reason.EXPIRED, Reason.LOG_UNAVAILABLE}
-    return timed and job.deadline < call.deadline
+    is_time_limited = call_result.reason in {
+        Reason.EXPIRED,
+        Reason.LOG_UNAVAILABLE,
+    }
+    return is_time_limited and job.deadline < call.deadline
 
 
-def _may_try_again(answer: Answer) -> bool:
-    return isinstance(answer, Refusal) and answer.reason in {
+def _can_retry(call_result: CallResult) -> bool:
+    return isinstance(call_result, Refusal) and call_result.reason in {
         Reason.WRONG_INCARNATION,
         Reason.STALE_DISPATCH,
         Reason.STALE_MANIFEST,
@@ -320,7 +358,10 @@
 
 
 def request_digest(call: Call) -> str:
-    """Return what tells whether two requests of one key are the same."""
+    """Return a SHA-256 by which retries with one key are compared.
+
+    It covers the method, the target and the body.
+    """
     request = call.request
     head = f'{request.method} {request.target}\n'.encode()
     return hashlib.sha256(head + request.body).hexdigest()
--- a/src/amaranthrail/entry/keytable.py
+++ b/src/amaranthrail/entry/keytable.py
@@ -1,4 +1,4 @@
-"""Derive from the shards' records where every key stands."""
+"""Rebuild the state of every idempotency key from the records of the shards."""
 
 from __future__ import annotations
 
@@ -21,9 +21,10 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyRecord:
-    """Hold where one key stands after the records read so far.
+    """Hold the state of one key after the records read so far.
 
-    ``offset`` is that of the latest record about the key in its shard.
+    ``offset`` is the log offset, in the key's shard, of the latest record about
+    the key; ``recorded_at`` is the time at which the log appended that record.
     """
 
     intent: Intent
@@ -36,55 +37,59 @@
 
 
 class KeyTable:
-    """Apply facts in log order; the result is the same at every entry.
+    """Apply facts in log order, so that all entries reach the same state.
 
-    Rules: the first intent for a key claims it. Another intent counts only
-    after the attempt before it is void, and numbers one higher. Nothing
-    follows ``ran``; ``lost`` gives way to the truth when that arrives late.
+    The first intent for a key claims it. A further intent counts only after
+    the previous attempt is void, and its attempt number must be one higher.
+    ``ran`` and ``void`` are final for an attempt; ``lost`` is replaced when the
+    real outcome is recorded later.
     """
 
     def __init__(self) -> None:
-        """Start with no key known."""
-        self._filings: dict[FilingKey, KeyRecord] = {}
+        """Start with an empty table, before the first record is applied."""
+        self._records: dict[FilingKey, KeyRecord] = {}
         self._pending: dict[FilingKey, KeyRecord] = {}
-        self._kept_from: dict[int, int] = {}
+        self._retained_from: dict[int, int] = {}
         self._skipped = 0
         self._contradictions = 0
         self._changed = trio.Event()
 
     @property
     def skipped(self) -> int:
-        """Return how many records could not be read."""
+        """Return how many log records could not be decoded as fact batches."""
         return self._skipped
 
     @property
     def contradictions(self) -> int:
-        """Return how many facts denied what was already final."""
+        """Return how many conclusions contradicted a final state."""
         return self._contradictions
 
     @property
     def size(self) -> int:
-        """Return how many keys are known."""
-        return len(self._filings)
+        """Return the number of keys in the table."""
+        return len(self._records)
 
     def find(self, key: FilingKey) -> KeyRecord | None:
-        """Return where a key stands, None for one never seen."""
-        return self._filings.get(key)
+        """Return the record of a key, None for an unknown or expired key."""
+        return self._records.get(key)
 
-    def open(self) -> list[KeyRecord]:
-        """Return the keys whose outcome is not known yet."""
+    def open_records(self) -> list[KeyRecord]:
+        """Return the keys whose latest attempt has no conclusion yet."""
         return self._in_state(FilingState.OPEN)
 
-    def lost(self) -> list[KeyRecord]:
-        """Return the keys whose outcome cannot be known."""
+    def lost_records(self) -> list[KeyRecord]:
+        """Return the keys whose outcome cannot be determined."""
         return self._in_state(FilingState.LOST)
 
     async def wait_changed(self) -> None:
-        """Return after the next record has been applied."""
+        """Wait until the next log record has been applied."""
         await self._changed.wait()
 
     def apply(self, shard: int, entry: LogEntry) -> str:
-        """Take in the next record of a shard; return its id, if it has one."""
+        """Apply the next log record of a shard and return the record's id.
+
+        The id is empty for a record that cannot be decoded.
+        """
         record = decode_record(entry.text)
         if isinstance(record, FilingBatch):
             for fact in record.facts:
@@ -95,72 +100,81 @@
         self._changed = trio.Event()
         return '' if record is None else record.id
 
-    def forget(self, shard: int, first: int) -> None:
-        """Drop the keys whose last record the log no longer keeps."""
-        if first <= self._kept_from.get(shard, 0):
+    def forget(self, shard: int, first_offset: int) -> None:
+        """Drop the keys of a shard whose latest record has left the log.
+
+        ``first_offset`` is the oldest offset that the log still retains.
+        """
+        if first_offset <= self._retained_from.get(shard, 0):
             return
-        self._kept_from[shard] = first
+        self._retained_from[shard] = first_offset
         expired = [
             key
-            for key, filing in self._filings.items()
-            if filing.shard == shard and filing.offset < first
+            for key, record in self._records.items()
+            if record.shard == shard and record.offset < first_offset
         ]
         for key in expired:
-            del self._filings[key]
+            del self._records[key]
             self._pending.pop(key, None)
 
     def _in_state(self, state: FilingState) -> list[KeyRecord]:
-        return [one for one in self._pending.values() if one.state is state]
+        return [
+            record for record in self._pending.values() if record.state is state
+        ]
 
     def _apply_fact(self, shard: int, entry: LogEntry, fact: AnyFact) -> None:
         key = FilingKey(fact.key)
-        known = self._filings.get(key)
+        current = self._records.get(key)
         match fact:
             case Intent():
-                fresh = _after_intent(known, fact, shard, entry)
+                updated = _apply_intent(current, fact, shard, entry)
             case Conclusion():
-                fresh = self._after_conclusion(known, fact, entry)
+                updated = self._apply_conclusion(current, fact, entry)
             case Resolution():
-                fresh = _after_resolution(known, fact, entry)
-        if fresh is not None:
-            self._keep(key, fresh)
-
-    def _keep(self, key: FilingKey, fresh: KeyRecord) -> None:
-        self._filings[key] = fresh
-        if fresh.state in {FilingState.OPEN, FilingState.LOST}:
-            self._pending[key] = fresh
+                updated = _apply_resolution(current, fact, entry)
+        if updated is not None:
+            self._store(key, updated)
+
+    def _store(self, key: FilingKey, updated: KeyRecord) -> None:
+        self._records[key] = updated
+        if updated.state in {FilingState.OPEN, FilingState.LOST}:
+            self._pending[key] = updated
         else:
             self._pending.pop(key, None)
 
-    def _after_conclusion(
+    def _apply_conclusion(
         self,
-        known: KeyRecord | None,
+        current: KeyRecord | None,
         fact: Conclusion,
         entry: LogEntry,
     ) -> KeyRecord | None:
-        if known is None or known.intent.id != fact.intent:
+        if current is None or current.intent.id != fact.intent:
             return None
-        if known.state is fact.state and known.state is not FilingState.LOST:
+        if (
+            current.state is fact.state
+            and current.state is not FilingState.LOST
+        ):
             return None
-        if known.state in {FilingState.RAN, FilingState.VOID}:
-            final = fact.state in {FilingState.RAN, FilingState.VOID}
-            self._contradictions += final
+        if current.state in {FilingState.RAN, FilingState.VOID}:
+            is_final = fact.state in {FilingState.RAN, FilingState.VOID}
+            self._contradictions += is_final
             return None
-        return _moved(known, fact.state, entry, conclusion=fact)
+        return _with_state(current, fact.state, entry, conclusion=fact)
 
 
-def _after_intent(
-    known: KeyRecord | None,
+def _apply_intent(
+    current: KeyRecord | None,
     fact: Intent,
     shard: int,
     entry: LogEntry,
 ) -> KeyRecord | None:
-    if known is not None and known.intent.id == fact.id:
-        # Written again before retention drops it, or an append repeated.
-        return _moved(known, known.state, entry)
-    expected = 1 if known is None else known.intent.attempt + 1
-    claimed = known is not None and known.state is not FilingState.VOID
-    if claimed or (known is not None and fact.attempt != expected):
+    if current is not None and current.intent.id == fact.id:
+        # A renewed copy, written before retention drops the original, or a
+        # duplicate of a retried append.
+        return _with_state(current, current.state, entry)
+    next_attempt = 1 if current is None else current.intent.attempt + 1
+    is_claimed = current is not None and current.state is not FilingState.VOID
+    if is_claimed or (current is not None and fact.attempt != next_attempt):
         return None
     return KeyRecord(
         fact,
@@ -171,31 +185,31 @@
     )
 
 
-def _after_resolution(
-    known: KeyRecord | None,
+def _apply_resolution(
+    current: KeyRecord | None,
     fact: Resolution,
     entry: LogEntry,
 ) -> KeyRecord | None:
-    if known is None or known.intent.id != fact.intent:
+    if current is None or current.intent.id != fact.intent:
         return None
-    if known.state is not FilingState.LOST:
+    if current.state is not FilingState.LOST:
         return None
-    return _moved(known, fact.state, entry, resolution=fact)
+    return _with_state(current, fact.state, entry, resolution=fact)
 
 
-def _moved(
-    known: KeyRecord,
+def _with_state(
+    current: KeyRecord,
     state: FilingState,
     entry: LogEntry,
     conclusion: Conclusion | None = None,
     resolution: Resolution | None = None,
 ) -> KeyRecord:
     return KeyRecord(
-        known.intent,
+        current.intent,
         state,
-        known.shard,
+        current.shard,
         int(entry.offset),
         entry.appended_at,
-        conclusion or known.conclusion,
-        resolution or known.resolution,
+        conclusion or current.conclusion,
+        resolution or current.resolution,
     )
--- a/src/amaranthrail/entry/load.py
+++ b/src/amaranthrail/entry/load.py
@@ -1,4 +1,8 @@
-"""Track the work at one replica: our own exactly, that of others as told."""
+"""Track the load of one replica: own dispatches and other entries' work.
+
+Own work is counted exactly. The work of other entries is the load that the
+replica's heartbeats report beyond the own work.
+"""
 
 from __future__ import annotations
 
@@ -14,38 +18,48 @@
 
 
 class LoadTracker:
-    """Hold what is queued and running at one replica, short and long."""
+    """Track the short and long work queued and running at one replica."""
 
     def __init__(self, name: str) -> None:
-        """Take the replica's name."""
+        """Take the upstream's name and start without any work."""
         self._name = name
         self._slots = 1
-        self._told_at = 0.0
+        self._reported_at = 0.0
         self._own = {False: NO_WORK, True: NO_WORK}
         self._others = {False: NO_WORK, True: NO_WORK}
 
-    def hear(self, told: Heartbeat) -> None:
-        """Keep what others have there: what is told beyond what we sent."""
-        interval_ms = told.clock - self._told_at
-        self._told_at = told.clock
-        self._slots = told.slots
-        self._hear(
-            Work(told.short_count, told.short_ms), interval_ms, long=False
+    def apply_heartbeat(self, heartbeat: Heartbeat) -> None:
+        """Update the work of other entries from a reported load."""
+        interval_ms = heartbeat.clock - self._reported_at
+        self._reported_at = heartbeat.clock
+        self._slots = heartbeat.slots
+        self._update_others(
+            Work(heartbeat.short_count, heartbeat.short_ms),
+            interval_ms,
+            long=False,
+        )
+        self._update_others(
+            Work(heartbeat.long_count, heartbeat.long_ms),
+            interval_ms,
+            long=True,
         )
-        self._hear(Work(told.long_count, told.long_ms), interval_ms, long=True)
 
-    def begin(self, sent: Dispatch) -> None:
-        """Count our own work in."""
-        work = Work(1, sent.cost_ms)
-        self._own[sent.long] = self._own[sent.long].plus(work)
+    def add_dispatch(self, dispatch: Dispatch) -> None:
+        """Add the work of a dispatch to this entry's own work."""
+        work = Work(1, dispatch.cost_ms)
+        self._own[dispatch.long] = self._own[dispatch.long].plus(work)
 
-    def end(self, sent: Dispatch) -> None:
-        """Count our own work out."""
-        work = Work(1, sent.cost_ms)
-        self._own[sent.long] = self._own[sent.long].beyond(work)
+    def remove_dispatch(self, dispatch: Dispatch) -> None:
+        """Remove the work of an ended dispatch from this entry's own work."""
+        work = Work(1, dispatch.cost_ms)
+        self._own[dispatch.long] = self._own[dispatch.long].beyond(work)
 
     def candidate(self, long_share: float, *, long: bool) -> Candidate:
-        """Return the expected wait of new work there."""
+        """Return the replica and the expected wait of new work there.
+
+        ``long_share`` is the share of the slots, 0 to 1, that long work may
+        hold; ``long`` tells whether the new work is long.
+        """
         load = ReplicaLoad(
             self._others[False].plus(self._own[False]),
             self._others[True].plus(self._own[True]),
@@ -54,9 +68,16 @@
         wait_ms = expected_wait(load, long_share, long=long)
         return Candidate(self._name, wait_ms, load.busy)
 
-    def _hear(self, told: Work, interval_ms: float, *, long: bool) -> None:
-        known = self._others[long]
-        fresh = told.beyond(self._own[long])
-        most_ms = max(known.cost_ms, fresh.cost_ms)
-        weight = report_weight(most_ms, self._slots, interval_ms)
-        self._others[long] = known.mixed(fresh, weight)
+    def _update_others(
+        self, reported: Work, interval_ms: float, *, long: bool
+    ) -> None:
+        """Move the mean of other entries' work towards a report.
+
+        Each report is weighted by how long its work takes compared with the
+        interval between reports (see ``report_weight``).
+        """
+        previous = self._others[long]
+        current = reported.beyond(self._own[long])
+        max_work_ms = max(previous.cost_ms, current.cost_ms)
+        weight = report_weight(max_work_ms, self._slots, interval_ms)
+        self._others[long] = previous.mixed(current, weight)
--- a/src/amaranthrail/entry/peers.py
+++ b/src/amaranthrail/entry/peers.py
@@ -1,4 +1,4 @@
-"""Keep the connection to one sidecar and the work in flight there."""
+"""Keep the connection to one sidecar and the exchanges in flight on it."""
 
 from __future__ import annotations
 
@@ -57,8 +57,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerAccess:
-    """Hold what all connections of one entry share."""
+class PeerContext:
+    """Hold what the connections of one entry share.
+
+    ``next_request`` and ``next_connection`` return ids that this incarnation of
+    the entry has not used before; ``tls`` is None for plain TCP.
+    """
 
     runtime: Runtime
     settings: EntrySettings
@@ -67,15 +71,15 @@
     next_connection: Callable[[], int]
 
 
-def make_access(
+def make_peer_context(
     runtime: Runtime,
     settings: EntrySettings,
     tls: ssl.SSLContext | None,
-) -> PeerAccess:
-    """Return the access whose ids are unique to this entry's incarnation."""
+) -> PeerContext:
+    """Return a context whose ids count up within this entry's incarnation."""
     requests = itertools.count(1)
     connections = itertools.count(1)
-    return PeerAccess(
+    return PeerContext(
         runtime,
         settings,
         tls,
@@ -85,55 +89,59 @@
 
 
 class Peer:
-    """Hold one sidecar's connection, load and exchanges."""
+    """Connect to one sidecar and track its load and exchanges."""
 
-    def __init__(self, record: HostRecord, access: PeerAccess) -> None:
-        """Take the sidecar's listing."""
+    def __init__(self, record: HostRecord, context: PeerContext) -> None:
+        """Take the sidecar's record in the host list, not connected yet."""
         self._record = record
-        self._access = access
-        self._runtime = access.runtime
+        self._context = context
+        self._runtime = context.runtime
         self._link: Link | None = None
         self._incarnation: Incarnation | None = None
         self._load: Heartbeat | None = None
         self._tracker = LoadTracker(record.upstream)
         self._in_flight = InFlight(self._runtime.metrics)
         self._scope = trio.CancelScope()
-        self._refused = False
+        self._connection_refused = False
         self._unreachable_since = self._runtime.clock.now()
 
     @property
     def record(self) -> HostRecord:
-        """Return the sidecar's listing."""
+        """Return the sidecar's latest record in the host list."""
         return self._record
 
     @property
     def name(self) -> str:
-        """Return the upstream's name."""
+        """Return the name of the sidecar's upstream."""
         return self._record.upstream
 
     @property
     def incarnation(self) -> Incarnation | None:
-        """Return the incarnation last connected to."""
+        """Return the sidecar's incarnation on the latest connection."""
         return self._incarnation
 
     @property
     def connected(self) -> bool:
-        """Tell whether the sidecar can be reached now."""
+        """Tell whether a connection is up and a heartbeat has arrived on it."""
         return self._link is not None and self._load is not None
 
     @property
     def load(self) -> Heartbeat | None:
-        """Return the sidecar's latest heartbeat."""
+        """Return the sidecar's latest heartbeat, None before the first."""
         return self._load
 
     @property
     def in_flight(self) -> int:
-        """Return how many exchanges have not ended."""
+        """Return the number of open exchanges."""
         return len(self._in_flight)
 
     @property
-    def takes_work(self) -> bool:
-        """Tell whether new work may go there, by any word there is."""
+    def accepts_work(self) -> bool:
+        """Tell whether new requests may be dispatched to the sidecar.
+
+        It must be connected, and neither its heartbeats, the host list nor an
+        operator's drain may say that it is shutting down.
+        """
         if self._load is None or self._link is None:
             return False
         if self._load.leaving or self._record.state is HostState.LEAVING:
@@ -141,57 +149,65 @@
         return not self._runtime.configuration.is_draining(self.name)
 
     def is_gone(self, incarnation: str) -> bool:
-        """Tell whether an incarnation of the sidecar has certainly ended."""
+        """Tell whether an incarnation of the sidecar has certainly ended.
+
+        That is so when another incarnation is connected, or when connections to
+        its address are refused.
+        """
         replaced = self.connected and self._incarnation != incarnation
-        return self._refused or replaced
+        return self._connection_refused or replaced
 
-    def update(self, record: HostRecord) -> None:
-        """Take a newer listing of the same upstream."""
-        moved = (record.host, record.port) != (
+    def update_record(self, record: HostRecord) -> None:
+        """Apply a newer record of the same upstream; reconnect if it moved."""
+        address_changed = (record.host, record.port) != (
             self._record.host,
             self._record.port,
         )
         self._record = record
-        if moved:
+        if address_changed:
             self._scope.cancel()
 
     def candidate(self, long_share: float, *, long: bool) -> Candidate:
-        """Return the expected wait there, own fresh work included."""
+        """Return the expected wait at the replica, as input for balancing."""
         return self._tracker.candidate(long_share, long=long)
 
     def dispatch(
-        self, make: Callable[[RequestId, float], Dispatch]
+        self, make_frame: Callable[[RequestId, float], Dispatch]
     ) -> Exchange:
-        """Send a request; ``make`` gets its id and the sidecar's clock."""
-        request = self._access.next_request()
+        """Send a request and return its exchange.
+
+        ``make_frame`` builds the frame from the request's id and the clock of
+        the sidecar's latest heartbeat, 0 before the first.
+        """
+        request = self._context.next_request()
         clock = 0.0 if self._load is None else self._load.clock
-        opening = make(request, clock)
+        opening = make_frame(request, clock)
         exchange = Exchange(request, opening)
-        self._tracker.begin(opening)
-        self._open(exchange)
+        self._tracker.add_dispatch(opening)
+        self._send_opening(exchange)
         return exchange
 
-    def inquire(self, intent: str) -> Exchange:
-        """Ask what became of an attempt, voiding it if it has not started."""
-        request = self._access.next_request()
+    def inquire_intent(self, intent: str) -> Exchange:
+        """Ask for an attempt's outcome; the sidecar voids it if not started."""
+        request = self._context.next_request()
         incarnation = self._incarnation or ''
         exchange = Exchange(request, Inquire(request, incarnation, intent))
-        self._open(exchange)
+        self._send_opening(exchange)
         return exchange
 
-    def ask_key(self, key: str) -> Exchange:
-        """Ask what became of a key there, voiding nothing."""
-        request = self._access.next_request()
+    def inquire_key(self, key: str) -> Exchange:
+        """Ask for the outcome of a key at the sidecar, voiding nothing."""
+        request = self._context.next_request()
         exchange = Exchange(request, AskKey(request, key))
-        self._open(exchange)
+        self._send_opening(exchange)
         return exchange
 
     def close(self, exchange: Exchange, *, cancel: bool) -> None:
-        """Forget an exchange; ``cancel`` stops its work too."""
+        """Close an exchange; ``cancel`` stops its unfinished run as well."""
         self._in_flight.remove(exchange)
         opening = exchange.opening
         if isinstance(opening, Dispatch):
-            self._tracker.end(opening)
+            self._tracker.remove_dispatch(opening)
         if self._link is None:
             return
         if cancel and not exchange.ended:
@@ -201,21 +217,21 @@
             self._link.post(done)
 
     def acknowledge(self, exchange: Exchange) -> None:
-        """Open the sidecar's window for what the caller has taken."""
-        ack = exchange.ack()
+        """Acknowledge bytes passed on, so that the sidecar sends more."""
+        ack = exchange.next_ack()
         if ack is not None and self._link is not None:
             self._link.post(ack)
 
-    def announce(self) -> None:
-        """Tell the versions in force now rather than at the next beat."""
+    def send_heartbeat(self) -> None:
+        """Report the versions in force now, not only at the next interval."""
         if self._link is not None:
             self._link.post(plain_heartbeat(self._runtime))
 
-    async def events(self, timeout_ms: float) -> list[Event]:
-        """Return the sidecar's time line, empty where it does not answer."""
+    async def fetch_events(self, timeout_ms: float) -> list[Event]:
+        """Return the sidecar's timeline, empty if it is not sent in time."""
         if self._link is None:
             return []
-        request = self._access.next_request()
+        request = self._context.next_request()
         waiter = self._in_flight.add_waiter(request)
         self._link.post(EventsAsk(request, 0))
         with move_on_after(timeout_ms):
@@ -224,24 +240,25 @@
         return waiter.events
 
     async def run(self) -> None:
-        """Stay connected until cancelled."""
-        backoff = _RECONNECT_MS
+        """Keep the connection up until cancelled, reconnecting with backoff."""
+        backoff_ms = _RECONNECT_MS
         while True:
             self._scope = trio.CancelScope()
             with self._scope:
-                reached = await self._connect_once()
-                backoff = _RECONNECT_MS if reached else 2 * backoff
-                backoff = min(backoff, _MAX_RECONNECT_MS)
+                is_established = await self._connect_once()
+                backoff_ms = _RECONNECT_MS if is_established else 2 * backoff_ms
+                backoff_ms = min(backoff_ms, _MAX_RECONNECT_MS)
             self._fail_unreachable()
-            await sleep(backoff)
+            await sleep(backoff_ms)
 
     async def _connect_once(self) -> bool:
-        """Serve one connection; tell whether it was ever established."""
+        """Serve one connection; tell whether its handshake completed."""
         try:
             stream = await self._dial()
         except ConnectionRefusedError:
-            # Nobody listens: the process that held the exchanges is gone.
-            self._refused = True
+            # Nothing listens at the address: the process that ran the
+            # exchanges has ended.
+            self._connection_refused = True
             self._fail_all()
             return False
         except (OSError, trio.TooSlowError, trio.BrokenResourceError):
@@ -255,28 +272,28 @@
 
     async def _dial(self) -> trio.abc.Stream:
         address = Address(self._record.host, self._record.port)
-        return await dial(address, self._access.tls)
+        return await dial(address, self._context.tls)
 
     async def _serve(self, link: Link) -> bool:
-        established = False
+        is_established = False
         try:
             with trio.fail_after(HANDSHAKE_TIMEOUT_S):
                 welcome = await greet(
                     link,
-                    self._access.settings.peer_key.encode(),
+                    self._context.settings.peer_key.encode(),
                     self._hello(),
                 )
-            established = self._accept(link, welcome)
-            if established:
+            is_established = self._accept_welcome(link, welcome)
+            if is_established:
                 await exchange_frames(
                     link,
                     self._runtime,
-                    self._access.settings,
-                    partial(self._take, link),
+                    self._context.settings,
+                    partial(self._handle_frame, link),
                 )
         except* (LinkClosedError, FrameError, trio.TooSlowError) as group:
-            self._note_lost(group.exceptions[0])
-        return established
+            self._record_disconnect(group.exceptions[0])
+        return is_established
 
     def _hello(self) -> Hello:
         return Hello(
@@ -284,46 +301,46 @@
             b'',
             self._runtime.process,
             self._runtime.incarnation,
-            self._access.next_connection(),
+            self._context.next_connection(),
         )
 
-    def _accept(self, link: Link, welcome: Welcome) -> bool:
+    def _accept_welcome(self, link: Link, welcome: Welcome) -> bool:
         if welcome.upstream != self._record.upstream:
             _log.warning(
-                'another upstream answers',
+                'sidecar serves another upstream',
                 expected=self._record.upstream,
-                found=welcome.upstream,
+                actual=welcome.upstream,
             )
             return False
         if welcome.incarnation != self._incarnation:
             self._fail_all()
         self._incarnation = Incarnation(welcome.incarnation)
-        self._refused = False
+        self._connection_refused = False
         self._link = link
         self._load = None
         self._runtime.timeline.add('peer-connected', self.name)
-        for frame in self._in_flight.resumptions():
+        for frame in self._in_flight.resume_frames():
             link.post(frame)
         return True
 
-    def _take(self, link: Link, frame: AnyFrame) -> None:
+    def _handle_frame(self, link: Link, frame: AnyFrame) -> None:
         if isinstance(frame, Heartbeat):
             self._load = frame
-            self._tracker.hear(frame)
+            self._tracker.apply_heartbeat(frame)
         if take_shared(link, self._runtime, frame):
             return
         match frame:
             case Head() | End() | Refused() | Broken():
                 self._runtime.clock.receive(frame.stamp)
-                self._in_flight.take(frame)
+                self._in_flight.deliver(frame)
             case Part():
-                self._in_flight.take(frame)
+                self._in_flight.deliver(frame)
             case Events():
-                self._in_flight.take_events(frame)
+                self._in_flight.deliver_events(frame)
             case _:
                 raise FrameError(f'unexpected {type(frame).__name__}')
 
-    def _open(self, exchange: Exchange) -> None:
+    def _send_opening(self, exchange: Exchange) -> None:
         if self._link is None:
             exchange.fail(unknown(Reason.PEER_GONE, 'not connected'))
             return
@@ -335,16 +352,16 @@
             self._link = None
             self._unreachable_since = self._runtime.clock.now()
 
-    def _note_lost(self, error: BaseException) -> None:
+    def _record_disconnect(self, error: BaseException) -> None:
         _log.info('connection ended', upstream=self.name, cause=str(error))
         self._runtime.timeline.add('peer-lost', self.name, str(error))
 
     def _fail_unreachable(self) -> None:
-        """Give up on exchanges once reconnecting has taken too long."""
+        """Fail all exchanges after ``silence_ms`` without a connection."""
         if self._link is not None:
             return
-        waited = self._runtime.clock.now() - self._unreachable_since
-        if waited > self._access.settings.silence_ms:
+        unreachable_ms = self._runtime.clock.now() - self._unreachable_since
+        if unreachable_ms > self._context.settings.silence_ms:
             self._fail_all()
 
     def _fail_all(self) -> None:
--- a/src/amaranthrail/entry/renewal.py
+++ b/src/amaranthrail/entry/renewal.py
@@ -1,4 +1,4 @@
-"""Write again, before retention drops it, what must outlive the log."""
+"""Renew log records that must outlive the log's retention."""
 
 from __future__ import annotations
 
@@ -21,14 +21,16 @@
 from .shards import Shards
 
 _CHECK_MS = 500.0
-#: Entries take turns over this share of the retention time.
-_TURN_SHARE = 0.2
+#: A record is renewed at the age of _RENEW_SHARE of the retention time, plus a
+#: delay of up to _STAGGER_SHARE of it, different at each entry, so that usually
+#: one entry renews it.
+_STAGGER_SHARE = 0.2
 _RENEW_SHARE = 0.4
 _log = part_logger('upkeep')
 
 
 class RecordRenewal:
-    """Renew the manifest in force and the lost list."""
+    """Append the manifest in force and the lost keys to the log again."""
 
     def __init__(
         self,
@@ -37,7 +39,7 @@
         control: Follower,
         shards: Shards,
     ) -> None:
-        """Take the log, the follower of the control stream, the shards."""
+        """Take the log, the follower of the control stream, and the shards."""
         self._runtime = runtime
         self._log = log
         self._control = control
@@ -45,14 +47,17 @@
         self._renewed: dict[str, int] = {}
 
     async def run(self) -> None:
-        """Check from time to time, for good."""
+        """Check the age of the records at an interval until cancelled."""
         while True:
             await sleep(_CHECK_MS)
             await self.renew_manifest()
             self.renew_lost()
 
     async def renew_manifest(self) -> None:
-        """Append a snapshot if the log's youngest copy grows old."""
+        """Append a snapshot if the log's latest copy is due for renewal.
+
+        A failed append is tried again at the next check.
+        """
         configuration = self._runtime.configuration
         in_force = configuration.in_force
         if in_force is None or not self._control.reachable:
@@ -73,27 +78,30 @@
         self._runtime.timeline.add('manifest-renewed', str(in_force.version))
 
     def renew_lost(self) -> None:
-        """Queue again the lost keys whose last record grows old."""
+        """Queue the records of lost keys again that are due for renewal.
+
+        A key is queued once for each offset of its latest record.
+        """
         renewed: dict[str, int] = {}
-        for filing in self._shards.ledger.lost():
-            intent = filing.intent.id
-            queued = self._renewed.get(intent, 0)
-            due = self._is_due(filing.recorded_at, intent)
-            if due and queued != filing.offset:
-                queued = filing.offset
-                self._renew(filing)
-            renewed[intent] = queued
+        for record in self._shards.key_table.lost_records():
+            intent = record.intent.id
+            renewed_offset = self._renewed.get(intent, 0)
+            is_due = self._is_due(record.recorded_at, intent)
+            if is_due and renewed_offset != record.offset:
+                renewed_offset = record.offset
+                self._renew(record)
+            renewed[intent] = renewed_offset
         self._renewed = renewed
 
-    def _renew(self, filing: KeyRecord) -> None:
-        self._shards.add(filing.intent)
-        if filing.conclusion is not None:
-            self._shards.add(filing.conclusion)
+    def _renew(self, record: KeyRecord) -> None:
+        self._shards.add(record.intent)
+        if record.conclusion is not None:
+            self._shards.add(record.conclusion)
 
     def _is_due(self, recorded_at: int, subject: str) -> bool:
         retention = self._control.retention_ms
         if retention <= 0:
             return False
-        turn = rendezvous(subject, self._runtime.incarnation) % 100 / 100
-        bound = retention * (_RENEW_SHARE + _TURN_SHARE * turn)
+        stagger = rendezvous(subject, self._runtime.incarnation) % 100 / 100
+        bound = retention * (_RENEW_SHARE + _STAGGER_SHARE * stagger)
         return self._runtime.clock.wall() - recorded_at > bound
--- a/src/amaranthrail/entry/routes.py
+++ b/src/amaranthrail/entry/routes.py
@@ -1,4 +1,4 @@
-"""Find a request's organisation, service and operation in the manifest."""
+"""Look up a request's organisation, service and operation in the manifest."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 
 MODEL_PATHS = frozenset(('/v1/chat/completions', '/v1/completions'))
 _SAFE_METHODS = frozenset(('GET', 'HEAD'))
-_BEARER = 'bearer '
+_BEARER_PREFIX = 'bearer '
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Hold what the manifest says of a request."""
+    """Hold the service and the operation that a request addresses."""
 
     service: Service
     operation: Operation
 
 
 class RouteTable:
-    """Look up what one version of the manifest says."""
+    """Index one version of the manifest for authentication and routing."""
 
     def __init__(self, manifest: Manifest) -> None:
-        """Index a manifest."""
+        """Build the indexes; the longest path prefix is matched first."""
         self._organisations = {
             credential: organisation
             for organisation in manifest.organisations
@@ -42,13 +42,13 @@
             for service in manifest.services
             for model in service.models
         }
-        self._plain = sorted(
-            (svc for svc in manifest.services if svc.path_prefix),
-            key=lambda svc: len(svc.path_prefix or ''),
+        self._plain_services = sorted(
+            (service for service in manifest.services if service.path_prefix),
+            key=lambda service: len(service.path_prefix or ''),
             reverse=True,
         )
         self._patterns = {
-            (service.name, operation.name): _pattern(operation.path)
+            (service.name, operation.name): _compile_path(operation.path)
             for service in manifest.services
             for operation in service.operations
         }
@@ -59,48 +59,54 @@
 
     @property
     def weights(self) -> dict[str, float]:
-        """Return each organisation's share."""
+        """Return the weight of each organisation for fair shares, by name."""
         return self._weights
 
-    def organisation(self, authorization: str | None) -> Organisation | None:
-        """Return whose credential an ``Authorization`` field carries.
+    def authenticate(self, authorization: str | None) -> Organisation | None:
+        """Return the organisation of an ``Authorization`` header's credential.
 
-        Only the hash of the credential is looked up, and the hash found is
-        compared in constant time.
+        Return None for a missing or unknown credential. Only the hash of the
+        credential is looked up, and the hash found is compared in constant
+        time.
         """
-        given = authorization or ''
-        if not given.lower().startswith(_BEARER):
+        header = authorization or ''
+        if not header.lower().startswith(_BEARER_PREFIX):
             return None
-        digest = hash_credential(given[len(_BEARER) :].strip())
-        found = self._organisations.get(digest)
-        if found is None:
+        digest = hash_credential(header[len(_BEARER_PREFIX) :].strip())
+        organisation = self._organisations.get(digest)
+        if organisation is None:
             return None
-        known = (hmac.compare_digest(digest, one) for one in found.credentials)
-        return found if any(tuple(known)) else None
+        matches = (
+            hmac.compare_digest(digest, credential)
+            for credential in organisation.credentials
+        )
+        return organisation if any(tuple(matches)) else None
 
-    def model(self, model: str, path: str) -> Route | None:
-        """Return the route of a completion request."""
+    def find_model_route(self, model: str, path: str) -> Route | None:
+        """Return the route of a completion request, None for no such model."""
         service = self._models.get(model)
         if service is None:
             return None
-        return Route(service, self._operation(service, 'POST', path))
+        return Route(service, self._find_operation(service, 'POST', path))
 
-    def plain(self, method: str, path: str) -> Route | None:
-        """Return the route of a call to a plain service."""
-        for service in self._plain:
+    def find_plain_route(self, method: str, path: str) -> Route | None:
+        """Return the route of a request by its path, None if no prefix fits."""
+        for service in self._plain_services:
             prefix = service.path_prefix or ''
             if path.startswith(prefix):
-                operation = self._operation(service, method, path)
+                operation = self._find_operation(service, method, path)
                 return Route(service, operation)
         return None
 
-    def _operation(self, service: Service, method: str, path: str) -> Operation:
+    def _find_operation(
+        self, service: Service, method: str, path: str
+    ) -> Operation:
         for operation in service.operations:
             pattern = self._patterns[service.name, operation.name]
             if operation.method == method and pattern.fullmatch(path):
                 return operation
-        # What the manifest does not list is idempotent only if its method is
-        # safe by the standard, or the service is a model.
+        # An operation that the manifest does not list is idempotent only if
+        # its method is safe (RFC 9110) or the service is a model.
         idempotent = service.kind == 'model' or method in _SAFE_METHODS
         return Operation.model_construct(
             name='unlisted',
@@ -111,6 +117,6 @@
         )
 
 
-def _pattern(path: str) -> re.Pattern[str]:
-    pieces = re.split(r'\{[^}]*\}', path)
-    return re.compile('[^/]+'.join(re.escape(piece) for piece in pieces))
+def _compile_path(path: str) -> re.Pattern[str]:
+    literals = re.split(r'\{[^}]*\}', path)
+    return re.compile('[^/]+'.join(re.escape(literal) for literal in literals))
--- a/src/amaranthrail/entry/service.py
+++ b/src/amaranthrail/entry/service.py
@@ -1,4 +1,4 @@
-"""Run an entry: wire its parts, serve callers, leave without cutting off."""
+"""Run an entry process: connect its components, serve, shut down gracefully."""
 
 from __future__ import annotations
 
@@ -18,33 +18,33 @@
 from ..settings import EntrySettings
 from ..tls import client_context, server_context
 from ..types import DomainName, ProcessName
-from .administration import Administration, AdminParts
-from .callers import Callers
-from .core import EntryCore
+from .administration import AdminContext, Administration
+from .callerhandler import CallerHandler
+from .context import EntryContext
 from .keyedrequests import KeyedRequests
-from .peers import make_access
+from .peers import make_peer_context
 from .renewal import RecordRenewal
 from .shards import Shards
 from .upstreampool import UpstreamPool
 
-_CHECK_MS = 20.0
-_MAX_MANIFEST_BYTES = 4 * 1024 * 1024
+_DRAIN_POLL_MS = 20.0
+_MAX_ADMIN_BODY_BYTES = 4 * 1024 * 1024
 _log = part_logger('entry')
 
 
 class Entry:
-    """Own the parts of one entry process."""
+    """Own the components and the tasks of one entry process."""
 
     def __init__(self, settings: EntrySettings) -> None:
-        """Take the checked settings."""
+        """Create the components from validated settings; nothing runs yet."""
         self._settings = settings
         self._runtime = Runtime(
             ProcessName(settings.name),
             DomainName(settings.domain),
         )
         self._log_service = HttpLog(settings.platform)
-        self._roster = UpstreamPool(
-            make_access(self._runtime, settings, self._peer_tls()),
+        self._pool = UpstreamPool(
+            make_peer_context(self._runtime, settings, self._peer_tls()),
             HttpHostList(settings.platform),
         )
         self._shards = Shards(
@@ -58,53 +58,58 @@
             CONTROL_STREAM,
             self._runtime.configuration.apply,
         )
-        self._core = EntryCore(
+        self._context = EntryContext(
             self._runtime,
             settings,
-            self._roster,
+            self._pool,
             self._shards,
         )
-        self._upkeep = RecordRenewal(
+        self._renewal = RecordRenewal(
             self._runtime,
             self._log_service,
             self._control,
             self._shards,
         )
-        self._callers_state = ServerState(
-            lambda: ServerLimits(self._core.max_body_bytes),
+        self._caller_server_state = ServerState(
+            lambda: ServerLimits(self._context.max_body_bytes),
         )
         self._stopping = trio.Event()
 
     @property
     def runtime(self) -> Runtime:
-        """Return what the parts of the process share."""
+        """Return the process's identity, clock, metrics and configuration."""
         return self._runtime
 
     def stop(self) -> None:
-        """Begin to leave: refuse new callers, finish what is in progress."""
+        """Start a graceful shutdown; ``run`` returns when it is complete.
+
+        New callers are refused; calls and jobs in progress are completed.
+        """
         self._stopping.set()
 
     async def run(self) -> None:
-        """Serve until stopped and until the last answer has gone out."""
+        """Serve until stopped and until no call, job or queued fact is left."""
         settings = self._settings
-        callers = await open_listeners(settings.listen, '--listen')
-        admin = await open_listeners(settings.admin_listen, '--admin-listen')
+        caller_listeners = await open_listeners(settings.listen, '--listen')
+        admin_listeners = await open_listeners(
+            settings.admin_listen, '--admin-listen'
+        )
         self._runtime.timeline.add('started')
         _log.info('serving callers')
         async with trio.open_nursery() as nursery:
-            filings = KeyedRequests(self._core, nursery)
+            keyed_requests = KeyedRequests(self._context, nursery)
             for task in (
                 self._control.run,
-                self._roster.run,
+                self._pool.run,
                 self._shards.run,
-                self._upkeep.run,
-                filings.sweep,
-                partial(self._listen_admin, admin, filings),
-                partial(self._listen_callers, callers, filings),
+                self._renewal.run,
+                keyed_requests.settle_overdue,
+                partial(self._listen_admin, admin_listeners, keyed_requests),
+                partial(self._listen_callers, caller_listeners, keyed_requests),
             ):
                 nursery.start_soon(task)
             await self._stopping.wait()
-            await self._leave(filings)
+            await self._shut_down(keyed_requests)
             nursery.cancel_scope.cancel()
         _log.info('ended')
 
@@ -119,13 +124,13 @@
     async def _listen_callers(
         self,
         listeners: list[trio.SocketListener],
-        filings: KeyedRequests,
+        keyed_requests: KeyedRequests,
     ) -> None:
-        callers = Callers(self._core, filings)
-        state = self._callers_state
+        caller_handler = CallerHandler(self._context, keyed_requests)
+        state = self._caller_server_state
 
         async def serve(stream: trio.abc.Stream) -> None:
-            await serve_connection(stream, callers.handle, state)
+            await serve_connection(stream, caller_handler.handle, state)
 
         handler = secured(serve, self._caller_tls())
         async with trio.open_nursery() as connections:
@@ -146,29 +151,31 @@
     async def _listen_admin(
         self,
         listeners: list[trio.SocketListener],
-        filings: KeyedRequests,
+        keyed_requests: KeyedRequests,
     ) -> None:
         administration = Administration(
-            AdminParts(self._core, filings, self._control, self._log_service),
+            AdminContext(
+                self._context, keyed_requests, self._control, self._log_service
+            ),
         )
-        state = ServerState(lambda: ServerLimits(_MAX_MANIFEST_BYTES))
+        state = ServerState(lambda: ServerLimits(_MAX_ADMIN_BODY_BYTES))
 
         async def serve(stream: trio.abc.Stream) -> None:
             await serve_connection(stream, administration.handle, state)
 
         await trio.serve_listeners(serve, listeners)
 
-    async def _leave(self, filings: KeyedRequests) -> None:
-        self._core.leave()
-        self._callers_state.close()
+    async def _shut_down(self, keyed_requests: KeyedRequests) -> None:
+        self._context.start_shutdown()
+        self._caller_server_state.close()
         self._runtime.timeline.add('leaving')
-        _log.info('leaving', active=self._callers_state.active)
-        while self._is_busy(filings):
-            await sleep(_CHECK_MS)
+        _log.info('leaving', active=self._caller_server_state.active)
+        while self._is_busy(keyed_requests):
+            await sleep(_DRAIN_POLL_MS)
 
-    def _is_busy(self, filings: KeyedRequests) -> bool:
+    def _is_busy(self, keyed_requests: KeyedRequests) -> bool:
         return bool(
-            self._callers_state.active
-            or filings.in_progress
-            or self._shards.waiting,
+            self._caller_server_state.active
+            or keyed_requests.in_progress
+            or self._shards.pending_count,
         )
--- a/src/amaranthrail/entry/settlement.py
+++ b/src/amaranthrail/entry/settlement.py
@@ -1,4 +1,4 @@
-"""Settle what became of attempts, by the record or by the sidecar's word."""
+"""Determine the outcome of claimed attempts from the log or the sidecar."""
 
 from __future__ import annotations
 
@@ -9,95 +9,123 @@
 from ..policy.pick import rendezvous
 from ..records import FilingState, Intent
 from ..types import FilingKey
-from .conclusions import Answer, Conclusions, recorded_answer
-from .core import EntryCore
-from .inquiries import ASK_TIMEOUT_MS, Inquiries
+from .conclusions import CallResult, ConclusionRecorder, recorded_result
+from .context import EntryContext
+from .inquiries import INQUIRY_TIMEOUT_MS, SidecarInquiries
 from .keytable import KeyRecord
 
-#: How long an intent or a void may take to appear in the log.
+#: How long to wait for an intent or a void to be read back from the log.
 RECORD_WAIT_MS = 4000.0
-_ASK_AGAIN_MS = 100.0
-_SPREAD_MS = 1000
+_INQUIRY_RETRY_MS = 100.0
+_STAGGER_MS = 1000
 _log = part_logger('filings')
 
 
-class Settlement:
-    """Bring every attempt that has been claimed to its conclusion."""
+class AttemptSettlement:
+    """Bring every claimed attempt to a conclusion: ran, void or lost."""
 
     def __init__(
         self,
-        core: EntryCore,
-        conclusions: Conclusions,
-        inquiries: Inquiries,
+        context: EntryContext,
+        conclusions: ConclusionRecorder,
+        inquiries: SidecarInquiries,
     ) -> None:
-        """Take who writes conclusions and who asks sidecars."""
-        self._core = core
-        self._runtime = core.runtime
-        self._ledger = core.shards.ledger
+        """Take the recorder of conclusions and the inquiries to sidecars."""
+        self._context = context
+        self._runtime = context.runtime
+        self._key_table = context.shards.key_table
         self._conclusions = conclusions
         self._inquiries = inquiries
 
-    def is_overdue(self, filing: KeyRecord) -> bool:
-        """Tell whether nobody has concluded an open key in time."""
-        # Entries take turns, so that one settles while the others look on.
-        turn = rendezvous(filing.intent.id, self._runtime.incarnation)
-        grace = self._core.settings.lost_grace_ms + turn % _SPREAD_MS
-        return self._runtime.clock.wall() > filing.intent.deadline + grace
+    def is_overdue(self, record: KeyRecord) -> bool:
+        """Tell whether an open key should be settled by this entry now.
 
-    async def wait_concluded(self, intent: Intent, bound_ms: float) -> bool:
-        """Wait while an attempt holds its key open; tell if it ended."""
-        with move_on_after(bound_ms):
+        It should once its deadline and ``lost_grace_ms`` have passed without a
+        conclusion.
+        """
+        # Each entry adds its own delay below _STAGGER_MS, so that usually one
+        # entry settles a key and the others read its conclusion.
+        stagger_hash = rendezvous(record.intent.id, self._runtime.incarnation)
+        grace_ms = (
+            self._context.settings.lost_grace_ms + stagger_hash % _STAGGER_MS
+        )
+        return self._runtime.clock.wall() > record.intent.deadline + grace_ms
+
+    async def wait_concluded(self, intent: Intent, timeout_ms: float) -> bool:
+        """Wait for an attempt's conclusion; return False on a timeout."""
+        with move_on_after(timeout_ms):
             while self._is_open(intent):
-                await self._ledger.wait_changed()
+                await self._key_table.wait_changed()
         return not self._is_open(intent)
 
-    async def take_outcome(self, intent: Intent, answer: Answer) -> Answer:
-        """Conclude an attempt by the answer of its dispatch or inquiry."""
-        if isinstance(answer, HttpAnswer):
-            self._conclusions.ran(intent, answer)
-            return answer
-        if answer.outcome is Outcome.NOT_RUN:
-            self._conclusions.void(intent, answer.reason.value)
-            return await self.voided(intent, answer.reason)
-        if answer.reason is Reason.PEER_GONE:
+    async def conclude(
+        self, intent: Intent, call_result: CallResult
+    ) -> CallResult:
+        """Record the conclusion that follows from a dispatch or an inquiry.
+
+        Return the result for the caller. When the sidecar did not respond, the
+        attempt is settled first.
+        """
+        if isinstance(call_result, HttpAnswer):
+            self._conclusions.record_ran(intent, call_result)
+            return call_result
+        if call_result.outcome is Outcome.NOT_RUN:
+            self._conclusions.record_void(intent, call_result.reason.value)
+            return await self.confirm_void(intent, call_result.reason)
+        if call_result.reason is Reason.PEER_GONE:
             return await self.settle(intent)
-        self._conclusions.lost(intent, answer.reason.value)
-        return answer
-
-    async def settle(self, intent: Intent) -> Answer:
-        """Ask the sidecar until it answers, is gone, or time is up."""
-        give_up_ms = (
-            self._conclusions.left_ms(intent)
-            + self._core.settings.lost_grace_ms
+        self._conclusions.record_lost(intent, call_result.reason.value)
+        return call_result
+
+    async def settle(self, intent: Intent) -> CallResult:
+        """Inquire of the sidecar until the outcome of an attempt is known.
+
+        The attempt is recorded as lost when the sidecar's incarnation has ended
+        or when ``lost_grace_ms`` after its deadline have passed, but not before
+        one inquiry could time out.
+        """
+        timeout_ms = (
+            self._conclusions.remaining_ms(intent)
+            + self._context.settings.lost_grace_ms
+        )
+        give_up_at = self._runtime.clock.now() + max(
+            INQUIRY_TIMEOUT_MS, timeout_ms
         )
-        give_up = self._runtime.clock.now() + max(ASK_TIMEOUT_MS, give_up_ms)
-        while self._runtime.clock.now() < give_up:
-            filing = self._ledger.find(FilingKey(intent.key))
-            if filing is not None and filing.state is not FilingState.OPEN:
-                return recorded_answer(filing)
-            peer = self._core.roster.find(intent.upstream)
+        while self._runtime.clock.now() < give_up_at:
+            record = self._key_table.find(FilingKey(intent.key))
+            if record is not None and record.state is not FilingState.OPEN:
+                return recorded_result(record)
+            peer = self._context.pool.find(intent.upstream)
             if peer is not None and peer.is_gone(intent.incarnation):
                 break
-            answer = await self._inquiries.ask_intent(peer, intent)
-            if answer is not None:
-                return await self.take_outcome(intent, answer)
-            await sleep(_ASK_AGAIN_MS)
-        self._conclusions.lost(intent, 'sidecar gone')
-        _log.warning('filing lost', key=intent.key, upstream=intent.upstream)
+            call_result = await self._inquiries.inquire_intent(peer, intent)
+            if call_result is not None:
+                return await self.conclude(intent, call_result)
+            await sleep(_INQUIRY_RETRY_MS)
+        self._conclusions.record_lost(intent, 'sidecar gone')
+        _log.warning(
+            'outcome of keyed request lost',
+            key=intent.key,
+            upstream=intent.upstream,
+        )
         return unknown(
             Reason.PEER_GONE,
-            f'{intent.upstream} ended before it told the outcome',
+            f'{intent.upstream} ended before it reported the outcome',
         )
 
-    async def voided(self, intent: Intent, reason: Reason) -> Answer:
-        """Return "not run" once it is on record, so that all may try again."""
+    async def confirm_void(self, intent: Intent, reason: Reason) -> CallResult:
+        """Return "not run" once the void is in the log, or after a timeout.
+
+        Waiting up to ``RECORD_WAIT_MS`` lets retries claim the key at any
+        entry.
+        """
         await self.wait_concluded(intent, RECORD_WAIT_MS)
-        return not_run(reason, 'voided before its start', int(MS_PER_SECOND))
+        return not_run(reason, 'voided before it started', int(MS_PER_SECOND))
 
     def _is_open(self, intent: Intent) -> bool:
-        filing = self._ledger.find(FilingKey(intent.key))
+        record = self._key_table.find(FilingKey(intent.key))
         return (
-            filing is not None
-            and filing.intent.id == intent.id
-            and filing.state is FilingState.OPEN
+            record is not None
+            and record.intent.id == intent.id
+            and record.state is FilingState.OPEN
         )
--- a/src/amaranthrail/entry/shards.py
+++ b/src/amaranthrail/entry/shards.py
@@ -1,4 +1,4 @@
-"""Append facts to the shards of the filing record, many to a record."""
+"""Append facts about keys to the log's shard streams, in batches."""
 
 from __future__ import annotations
 
@@ -21,100 +21,100 @@
 from ..types import FilingKey
 from .keytable import KeyTable
 
-_REPEAT_MS = 200
+_APPEND_RETRY_MS = 200
 _MAX_BATCH_FACTS = 512
 
 
 class Shard:
-    """Follow one shard and append to it, in order, until it is there.
+    """Follow one shard of the log and append queued facts to it in order.
 
-    An append may take effect though its answer is lost, so a record is
-    appended again until an append is answered or the record has been read;
-    copies change nothing.
+    An append may take effect although its response is lost, so a batch is
+    appended again until an append succeeds or the batch has been read back.
+    Duplicates change nothing when they are applied.
     """
 
     def __init__(
         self,
         number: int,
         log: LogPort,
-        ledger: KeyTable,
+        key_table: KeyTable,
         clock: Clock,
         interval_ms: float,
     ) -> None:
-        """Take the shard's number and the least time between appends."""
+        """Take the shard's number and the minimum time between appends."""
         self._number = number
         self._log = log
-        self._ledger = ledger
+        self._key_table = key_table
         self._clock = clock
         self._interval_ms = interval_ms
-        self._waiting: deque[AnyFact] = deque()
-        self._wake = trio.Event()
-        self._appends = 0
-        self._unanswered = 0
-        self._appending = ''
-        self._seen = trio.Event()
+        self._pending_facts: deque[AnyFact] = deque()
+        self._fact_added = trio.Event()
+        self._append_count = 0
+        self._unanswered_count = 0
+        self._appending_id = ''
+        self._read_back = trio.Event()
         self._follower = Follower(log, shard_stream(number), self._apply)
 
     @property
     def follower(self) -> Follower:
-        """Return the reader of the shard."""
+        """Return the follower that reads the shard."""
         return self._follower
 
     @property
-    def waiting(self) -> int:
-        """Return how many facts the log has not taken yet."""
-        return len(self._waiting)
+    def pending_count(self) -> int:
+        """Return how many facts are queued and not in the log yet."""
+        return len(self._pending_facts)
 
     @property
-    def appends(self) -> int:
-        """Return how many records have been appended."""
-        return self._appends
+    def append_count(self) -> int:
+        """Return how many batches have been appended."""
+        return self._append_count
 
     @property
-    def unanswered(self) -> int:
-        """Return how many records were read back before an answer came."""
-        return self._unanswered
+    def unanswered_count(self) -> int:
+        """Return how many batches were read back without a response."""
+        return self._unanswered_count
 
     def add(self, fact: AnyFact) -> None:
-        """Queue a fact; it is kept until the log has it."""
-        self._waiting.append(fact)
-        self._wake.set()
+        """Queue a fact; it stays queued until the log has it."""
+        self._pending_facts.append(fact)
+        self._fact_added.set()
 
     async def run(self) -> None:
-        """Append queued facts and follow the shard for good."""
+        """Append queued facts and follow the shard until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._follower.run)
-            nursery.start_soon(self._write)
+            nursery.start_soon(self._append_loop)
 
-    async def _write(self) -> None:
+    async def _append_loop(self) -> None:
         while True:
-            await self._wake.wait()
-            self._wake = trio.Event()
-            while self._waiting:
-                began = self._clock.now()
+            await self._fact_added.wait()
+            self._fact_added = trio.Event()
+            while self._pending_facts:
+                started_at = self._clock.now()
                 await self._append_batch()
-                spent = self._clock.now() - began
-                await sleep(self._interval_ms - spent)
+                elapsed_ms = self._clock.now() - started_at
+                await sleep(self._interval_ms - elapsed_ms)
 
     async def _append_batch(self) -> None:
-        facts = tuple(self._waiting)[:_MAX_BATCH_FACTS]
+        facts = tuple(self._pending_facts)[:_MAX_BATCH_FACTS]
         record = FilingBatch(id=new_record_id(), facts=facts)
-        self._appending = record.id
-        self._seen = trio.Event()
+        self._appending_id = record.id
+        self._read_back = trio.Event()
         text = encode_record(record)
         while not await self._append(text):
-            if await self._was_seen():
-                self._unanswered += 1
+            if await self._wait_read_back():
+                self._unanswered_count += 1
                 break
         for _ in facts:
-            self._waiting.popleft()
-        self._appends += 1
+            self._pending_facts.popleft()
+        self._append_count += 1
 
-    async def _was_seen(self) -> bool:
-        """Wait before a repeat; tell whether the record has been read."""
-        with move_on_after(_REPEAT_MS):
-            await self._seen.wait()
-        return self._seen.is_set()
+    async def _wait_read_back(self) -> bool:
+        """Wait before a retry; tell whether the batch has been read back."""
+        with move_on_after(_APPEND_RETRY_MS):
+            await self._read_back.wait()
+        return self._read_back.is_set()
 
     async def _append(self, text: bytes) -> bool:
         try:
@@ -123,13 +123,13 @@
             return False
         return True
 
-    def _apply(self, _first: int, entry: LogEntry) -> None:
-        if self._ledger.apply(self._number, entry) == self._appending:
-            self._seen.set()
+    def _apply(self, _first_offset: int, entry: LogEntry) -> None:
+        if self._key_table.apply(self._number, entry) == self._appending_id:
+            self._read_back.set()
 
 
 class Shards:
-    """Spread the keys over the shards."""
+    """Distribute the keys over the shards by a hash of the key."""
 
     def __init__(
         self,
@@ -138,58 +138,58 @@
         clock: Clock,
         interval_ms: float,
     ) -> None:
-        """Take the number of shards, the same at every entry."""
-        self._ledger = KeyTable()
+        """Take the number of shards, which must be the same at every entry."""
+        self._key_table = KeyTable()
         self._shards = [
-            Shard(number, log, self._ledger, clock, interval_ms)
+            Shard(number, log, self._key_table, clock, interval_ms)
             for number in range(count)
         ]
 
     @property
-    def ledger(self) -> KeyTable:
-        """Return what the shards say."""
-        return self._ledger
+    def key_table(self) -> KeyTable:
+        """Return the state of the keys of all shards."""
+        return self._key_table
 
     @property
     def reachable(self) -> bool:
-        """Tell whether every shard could be read last time."""
+        """Tell whether the latest read of every shard succeeded."""
         return all(shard.follower.reachable for shard in self._shards)
 
     @property
-    def waiting(self) -> int:
-        """Return how many facts the log has not taken yet."""
-        return sum(shard.waiting for shard in self._shards)
+    def pending_count(self) -> int:
+        """Return how many facts are queued and not in the log yet."""
+        return sum(shard.pending_count for shard in self._shards)
 
     @property
-    def appends(self) -> int:
-        """Return how many records have been appended."""
-        return sum(shard.appends for shard in self._shards)
+    def append_count(self) -> int:
+        """Return how many batches have been appended."""
+        return sum(shard.append_count for shard in self._shards)
 
     @property
-    def unanswered(self) -> int:
-        """Return how many records were read back before an answer came."""
-        return sum(shard.unanswered for shard in self._shards)
+    def unanswered_count(self) -> int:
+        """Return how many batches were read back without a response."""
+        return sum(shard.unanswered_count for shard in self._shards)
 
     def add(self, fact: AnyFact) -> None:
-        """Queue a fact for its key's shard."""
+        """Queue a fact in the shard of its key."""
         self.shard_of(FilingKey(fact.key)).add(fact)
 
     def shard_of(self, key: FilingKey) -> Shard:
-        """Return the shard that keeps a key."""
+        """Return the shard to which a key hashes."""
         number = xxhash.xxh3_64_intdigest(key.encode()) % len(self._shards)
         return self._shards[number]
 
     async def wait_caught_up(self, key: FilingKey) -> None:
-        """Return once the key's shard has been read to its end."""
+        """Wait until the key's shard has been read to its end once."""
         await self.shard_of(key).follower.wait_caught_up()
 
     def forget_expired(self) -> None:
-        """Drop the keys that the log no longer keeps."""
+        """Drop the keys whose records the log no longer retains."""
         for number, shard in enumerate(self._shards):
-            self._ledger.forget(number, shard.follower.first)
+            self._key_table.forget(number, shard.follower.first)
 
     async def run(self) -> None:
-        """Append and follow for good."""
+        """Append to and follow all shards until cancelled."""
         async with trio.open_nursery() as nursery:
             for shard in self._shards:
                 nursery.start_soon(shard.run)
--- a/src/amaranthrail/entry/upstreampool.py
+++ b/src/amaranthrail/entry/upstreampool.py
@@ -9,17 +9,17 @@
 from ..policy.subset import choose_subset
 from ..ports import HostListPort, HostRecord
 from ..types import UpstreamName
-from .peers import Peer, PeerAccess
+from .peers import Peer, PeerContext
 
 _log = part_logger('roster')
 
 
 class UpstreamPool:
-    """Own the peers of one entry."""
+    """Own the peers of one entry: a subset of each service's replicas."""
 
-    def __init__(self, access: PeerAccess, hosts: HostListPort) -> None:
-        """Take what peers share and where hosts are listed."""
-        self._access = access
+    def __init__(self, peer_context: PeerContext, hosts: HostListPort) -> None:
+        """Take what all peers share and the source of the host list."""
+        self._peer_context = peer_context
         self._hosts = hosts
         self._peers: dict[UpstreamName, Peer] = {}
         self._scopes: dict[UpstreamName, trio.CancelScope] = {}
@@ -28,30 +28,30 @@
 
     @property
     def peers(self) -> list[Peer]:
-        """Return all peers."""
+        """Return all peers, including those no longer in the subset."""
         return list(self._peers.values())
 
     @property
     def reachable(self) -> bool:
-        """Tell whether the host list answered last time."""
+        """Tell whether the latest read of the host list succeeded."""
         return self._reachable
 
     def find(self, upstream: str) -> Peer | None:
-        """Return the peer of an upstream, if there is one."""
+        """Return the peer of an upstream, None if this entry has none."""
         return self._peers.get(UpstreamName(upstream))
 
-    def usable(self, service: str) -> list[Peer]:
-        """Return the peers of a service that take new work."""
+    def available(self, service: str) -> list[Peer]:
+        """Return the listed peers of a service that accept new work."""
         return [
             peer
             for peer in self._peers.values()
             if peer.record.service == service
-            and peer.takes_work
+            and peer.accepts_work
             and peer.record.upstream in self._listed
         ]
 
     def connected(self, service: str) -> list[Peer]:
-        """Return the peers of a service that can be reached now."""
+        """Return the connected peers of a service, including draining ones."""
         return [
             peer
             for peer in self._peers.values()
@@ -59,47 +59,49 @@
         ]
 
     async def run(self) -> None:
-        """Follow the host list for good."""
+        """Poll the host list and run the peers until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 hosts = await self._hosts.hosts()
                 self._reachable = hosts is not None
-                # A list without any host is no reason to drop those that
-                # answer; which of them are gone, their connections tell.
+                # An empty host list does not remove replicas that still
+                # respond; broken connections show which ones are gone.
                 if hosts:
-                    self._update(hosts, nursery)
-                await sleep(self._access.settings.hosts_interval_ms)
+                    self._apply_hosts(hosts, nursery)
+                await sleep(self._peer_context.settings.hosts_interval_ms)
 
-    def _update(
+    def _apply_hosts(
         self,
         hosts: tuple[HostRecord, ...],
         nursery: trio.Nursery,
     ) -> None:
-        chosen = self._choose(hosts)
+        chosen = self._choose_subset(hosts)
         self._listed = frozenset(chosen)
         for name, record in chosen.items():
-            known = self._peers.get(name)
-            if known is None:
-                self._start(record, nursery)
+            peer = self._peers.get(name)
+            if peer is None:
+                self._add_peer(record, nursery)
             else:
-                known.update(record)
+                peer.update_record(record)
         for name in self._peers.keys() - chosen.keys():
-            self._stop_idle(name)
+            self._remove_idle(name)
 
-    def _choose(
+    def _choose_subset(
         self,
         hosts: tuple[HostRecord, ...],
     ) -> dict[UpstreamName, HostRecord]:
-        settings = self._access.settings
+        settings = self._peer_context.settings
         chosen: dict[UpstreamName, HostRecord] = {}
         for service in sorted({host.service for host in hosts}):
-            members = [host for host in hosts if host.service == service]
-            picked = choose_subset(settings.name, members, settings.subset)
-            chosen.update((host.upstream, host) for host in picked)
+            service_hosts = [host for host in hosts if host.service == service]
+            subset = choose_subset(
+                settings.name, service_hosts, settings.subset
+            )
+            chosen.update((host.upstream, host) for host in subset)
         return chosen
 
-    def _start(self, record: HostRecord, nursery: trio.Nursery) -> None:
-        peer = Peer(record, self._access)
+    def _add_peer(self, record: HostRecord, nursery: trio.Nursery) -> None:
+        peer = Peer(record, self._peer_context)
         self._peers[record.upstream] = peer
         self._scopes[record.upstream] = trio.CancelScope()
         _log.info('peer added', upstream=record.upstream)
@@ -109,7 +111,8 @@
         with scope:
             await peer.run()
 
-    def _stop_idle(self, name: UpstreamName) -> None:
+    def _remove_idle(self, name: UpstreamName) -> None:
+        """Stop a peer that is not in the subset, unless it has exchanges."""
         peer = self._peers[name]
         if peer.in_flight:
             return
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -44,13 +44,13 @@
 def _take(frames: list[AnswerFrame]) -> bytes | Refusal:
     exchange = Exchange(RequestId('r'), build.dispatch('r', 'i'))
     for frame in frames:
-        exchange.take(frame)
+        exchange.accept_frame(frame)
 
     async def read() -> bytes | Refusal:
         head = await exchange.wait_head()
         if isinstance(head, Refusal):
             return head
-        return await exchange.read_rest()
+        return await exchange.read_body()
 
     return trio.run(read)
 
@@ -74,7 +74,7 @@
     other = Exchange(RequestId('other'), build.dispatch('other', 'i'))
     for exchange in (mine, other):
         in_flight.add(exchange)
-    in_flight.take(Part('other', 0, b'not mine'))
-    in_flight.take(Part('earlier', 0, b'nobody'))
+    in_flight.deliver(Part('other', 0, b'not mine'))
+    in_flight.deliver(Part('earlier', 0, b'nobody'))
     assert (mine.received, other.received) == (0, len(b'not mine'))
     assert b'amaranthrail_frames_unknown_total 1.0' in metrics_text(metrics)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -21,7 +21,7 @@
             short_ms=cost_ms,
             slots=SLOTS,
         )
-        tracker.hear(told)
+        tracker.apply_heartbeat(told)
         waits.append(tracker.candidate(0.5, long=False).wait_ms)
     return waits
 
