--- a/src/amaranthrail/entry/administration.py
+++ b/src/amaranthrail/entry/administration.py
@@ -28,6 +28,7 @@
 from .keytable import KeyRecord
 from .peers import Peer
 
+#: How long to wait until a published change or drain is read back from the log.
 PUBLISH_TIMEOUT_MS = 4000
 _EVENTS_TIMEOUT_MS = 1500
 _RESOLVE_TIMEOUT_MS = 4000
--- a/src/amaranthrail/entry/conclusions.py
+++ b/src/amaranthrail/entry/conclusions.py
@@ -10,6 +10,7 @@
 from .keytable import KeyRecord
 from .shards import Shards
 
+#: Largest response body that is recorded for retries with the key.
 MAX_RECORDED_BODY_BYTES = 262_144
 
 CallResult = HttpAnswer | Refusal
--- a/src/amaranthrail/entry/context.py
+++ b/src/amaranthrail/entry/context.py
@@ -108,7 +108,7 @@
     def ready(self) -> bool:
         """Tell whether callers can be served, for the readiness probe.
 
-        It takes a connected peer, a manifest in force, and no shutdown.
+        It requires a connected peer, a manifest in force and no shutdown.
         """
         connected = any(peer.connected for peer in self._pool.peers)
         return connected and self.routes is not None and not self._shutting_down
--- a/src/amaranthrail/entry/forward.py
+++ b/src/amaranthrail/entry/forward.py
@@ -15,6 +15,7 @@
 from .exchange import Exchange
 from .peers import Peer
 
+#: Attempts of one call, including the first.
 MAX_ATTEMPTS = 3
 _STREAM_TYPE = 'text/event-stream'
 _LAST_EVENT = b'data: [DONE]\n\n'
--- a/src/amaranthrail/entry/inquiries.py
+++ b/src/amaranthrail/entry/inquiries.py
@@ -14,6 +14,7 @@
 from .exchange import Exchange
 from .peers import Peer
 
+#: How long a sidecar may take to respond to an inquiry.
 INQUIRY_TIMEOUT_MS = 1500.0
 
 
--- a/src/amaranthrail/entry/keyedrequests.py
+++ b/src/amaranthrail/entry/keyedrequests.py
@@ -35,6 +35,7 @@
 #: sidecar remembers voided intents for longer (gate.VOID_KEPT_MS), so that none
 #: is dispatched after the sidecar has forgotten that it was voided.
 MAX_CLAIM_MS = 4500.0
+#: Attempts of one job, including the first; each has an intent of its own.
 MAX_ATTEMPTS = 3
 _SWEEP_MS = 500.0
 
--- a/src/amaranthrail/entry/routes.py
+++ b/src/amaranthrail/entry/routes.py
@@ -14,6 +14,7 @@
     hash_credential,
 )
 
+#: Paths of completion requests, which are routed by the model in their body.
 MODEL_PATHS = frozenset(('/v1/chat/completions', '/v1/completions'))
 _SAFE_METHODS = frozenset(('GET', 'HEAD'))
 _BEARER_PREFIX = 'bearer '
