--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -17,7 +17,7 @@
 from .client import file_order
 from .evidence import Seen, appends_unanswered, latest_stamp, peers_lost
 from .faults import FAULTS, Fault
-from .filing import Workload, check_promises, lose, lost_keys, settled
+from .keyedworkload import Workload, check_promises, lose, lost_keys, settled
 
 #: Longer than every lease and staleness bound of the design (3 s).
 HOLD_S = 3.6
--- a/tests/test_same_key.py
+++ b/tests/test_same_key.py
@@ -9,7 +9,7 @@
 from standins.fleet import Fleet
 
 from .client import file_order
-from .filing import lose, lost_keys, resolve
+from .keyedworkload import lose, lost_keys, resolve
 
 KEYS = 12
 ASKERS = 4
