--- a/tests/keyedworkload.py
+++ b/tests/keyedworkload.py
@@ -1,4 +1,4 @@
-"""File keyed work during faults and check what the promises say of it."""
+"""Send keyed requests during faults and check their outcomes afterwards."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 from .client import file_order
 
-#: The page's bound: every key has ended this long after a fault's end.
+#: The documented bound: every key is concluded this long after a fault ends.
 SETTLE_S = 10.0
 _CALLERS = 6
 _PAUSE_S = 0.05
@@ -24,135 +24,154 @@
 
 
 @dataclass
-class Filed:
-    """Hold what one caller was told about its key, in order."""
+class KeyedCall:
+    """Hold a key, the outcomes its caller got in order, and the duration."""
 
     key: str
-    told: list[str] = field(default_factory=list)
-    took_s: float = 0
+    outcomes: list[str] = field(default_factory=list)
+    duration_s: float = 0
 
 
 class Workload:
-    """File with fresh keys from several callers until stopped."""
+    """Send orders with new keys from several callers until stopped."""
 
     def __init__(self, fleet: Fleet, name: str) -> None:
         self._fleet = fleet
         self._name = name
         self._stop = threading.Event()
-        self._filed: list[Filed] = []
+        self._calls: list[KeyedCall] = []
         self._pool = ThreadPoolExecutor(_CALLERS)
 
     @property
-    def filed(self) -> list[Filed]:
-        return self._filed
+    def calls(self) -> list[KeyedCall]:
+        return self._calls
 
     @property
-    def longest_s(self) -> float:
-        return max(one.took_s for one in self._filed)
+    def max_duration_s(self) -> float:
+        return max(call.duration_s for call in self._calls)
 
     def start(self) -> None:
         for caller in range(_CALLERS):
-            self._pool.submit(self._call_on, caller)
+            self._pool.submit(self._send_calls, caller)
 
     def stop(self) -> None:
         self._stop.set()
         self._pool.shutdown(wait=True)
 
-    def _call_on(self, caller: int) -> None:
+    def _send_calls(self, caller: int) -> None:
         number = 0
         while not self._stop.is_set():
             number += 1
-            filed = Filed(f'{self._name}-{caller}-{number}')
-            self._filed.append(filed)
+            call = KeyedCall(f'{self._name}-{caller}-{number}')
+            self._calls.append(call)
             entry = self._fleet.entries[number % len(self._fleet.entries)]
-            began = time.monotonic()
-            filed.told.append(tell(self._fleet, entry, filed.key))
-            filed.took_s = time.monotonic() - began
+            started_at = time.monotonic()
+            call.outcomes.append(send_order(self._fleet, entry, call.key))
+            call.duration_s = time.monotonic() - started_at
             time.sleep(_PAUSE_S)
 
 
-def tell(fleet: Fleet, entry: EntryProcess, key: str) -> str:
-    """Return what a caller is told: an outcome, or that nothing came."""
+def send_order(fleet: Fleet, entry: EntryProcess, key: str) -> str:
+    """Send an order and return its outcome, 'nothing' for no response."""
     try:
-        answer = file_order(fleet, entry, key, timeout=_CALL_TIMEOUT_S)
+        response = file_order(fleet, entry, key, timeout=_CALL_TIMEOUT_S)
     except (OSError, client.HTTPException):
         return 'nothing'
-    return outcome_of(answer)
+    return parse_outcome(response)
 
 
-def outcome_of(answer: Answer) -> str:
-    if answer.status == 200:
+def parse_outcome(response: Answer) -> str:
+    if response.status == 200:
         return 'ran'
-    return f'{answer.headers["x-outcome"]} {answer.status}'
+    return f'{response.headers["x-outcome"]} {response.status}'
 
 
-def check_promises(fleet: Fleet, workload: Workload) -> Counter[str]:
-    """Check each key's end; return how often each thing was told."""
-    wait_until(lambda: settled(fleet), SETTLE_S)
-    counts = Counter(run['key'] for run in fleet.runs(fleet.deployment.plain))
+def check_outcomes(fleet: Fleet, workload: Workload) -> Counter[str]:
+    """Check every key once settled; return how often each outcome was reported.
+
+    A key ran at most once, exactly once after 'ran' and never after 'not-run'.
+    A key whose caller got no certain outcome is retried.
+    """
+    wait_until(lambda: all_keys_settled(fleet), SETTLE_S)
+    run_counts = Counter(
+        run['key'] for run in fleet.runs(fleet.deployment.plain)
+    )
     lost = lost_keys(fleet)
-    told: Counter[str] = Counter()
-    for filed in workload.filed:
-        first = filed.told[0]
-        told[first] += 1
-        ran = counts[filed.key]
-        assert ran <= 1, f'{filed.key} ran {ran} times'
-        if first == 'ran':
-            assert ran == 1, f'{filed.key} was answered and did not run'
-        if first.startswith('not-run'):
-            assert ran == 0, f'{filed.key} was "not run" and ran'
-        if first == 'nothing' or first.startswith('unknown'):
-            _check_unsure(fleet, filed, ran, lost)
+    outcome_counts: Counter[str] = Counter()
+    for call in workload.calls:
+        outcome = call.outcomes[0]
+        outcome_counts[outcome] += 1
+        run_count = run_counts[call.key]
+        assert run_count <= 1, f'{call.key} ran {run_count} times'
+        if outcome == 'ran':
+            assert run_count == 1, f'{call.key} got a response and did not run'
+        if outcome.startswith('not-run'):
+            assert run_count == 0, f'{call.key} was "not run" and ran'
+        if outcome == 'nothing' or outcome.startswith('unknown'):
+            _check_uncertain(fleet, call, run_count, lost)
     _check_no_second_run(fleet, workload)
-    return told
-
-
-def _check_unsure(fleet: Fleet, filed: Filed, ran: int, lost: set[str]) -> None:
-    """Ask again with the key: the first answer, the lost list, or a run."""
-    again = tell(fleet, fleet.entries[-1], filed.key)
-    if filed.key in lost:
-        assert again == 'unknown 409', f'{filed.key}: {again}'
-    elif ran:
-        assert again == 'ran', f'{filed.key} ran and vanished: {again}'
+    return outcome_counts
+
+
+def _check_uncertain(
+    fleet: Fleet, call: KeyedCall, run_count: int, lost: set[str]
+) -> None:
+    """Retry with the key: it must be on the lost list, or have run by now.
+
+    A key that ran before returns its first response.
+    """
+    retried = send_order(fleet, fleet.entries[-1], call.key)
+    if call.key in lost:
+        assert retried == 'unknown 409', f'{call.key}: {retried}'
+    elif run_count:
+        assert retried == 'ran', (
+            f'{call.key} ran and its response is gone: {retried}'
+        )
     else:
-        assert again == 'ran', f'{filed.key} cannot be filed again: {again}'
+        assert retried == 'ran', f'{call.key} cannot be retried: {retried}'
 
 
 def _check_no_second_run(fleet: Fleet, workload: Workload) -> None:
-    counts = Counter(run['key'] for run in fleet.runs(fleet.deployment.plain))
-    twice = [one.key for one in workload.filed if counts[one.key] > 1]
-    assert not twice, f'ran twice: {twice}'
+    run_counts = Counter(
+        run['key'] for run in fleet.runs(fleet.deployment.plain)
+    )
+    ran_twice = [
+        call.key for call in workload.calls if run_counts[call.key] > 1
+    ]
+    assert not ran_twice, f'ran twice: {ran_twice}'
 
 
-def lose(fleet: Fleet, key: str) -> Answer:
-    """File with the answers cut, so that the key is lost."""
+def lose_key(fleet: Fleet, key: str) -> Answer:
+    """Send an order whose response is cut, and wait until its key is lost."""
     upstreams = fleet.of_service(fleet.deployment.plain)
-    for one in upstreams:
-        one.set_faults(cut_after_bytes=5)
+    for upstream in upstreams:
+        upstream.set_faults(cut_after_bytes=5)
     try:
-        answer = file_order(fleet, fleet.entries[0], key)
+        response = file_order(fleet, fleet.entries[0], key)
     finally:
-        for one in upstreams:
-            one.set_faults(cut_after_bytes=None)
+        for upstream in upstreams:
+            upstream.set_faults(cut_after_bytes=None)
     wait_until(lambda: key in lost_keys(fleet))
-    return answer
+    return response
 
 
 def lost_keys(fleet: Fleet) -> set[str]:
-    """Return the callers' keys on the lost list."""
-    answer = fleet.admin_call('GET', '/v1/lost')
-    return {one['key'].partition('/')[2] for one in answer.json()}
+    """Return the keys on the lost list, without their organisation."""
+    response = fleet.admin_call('GET', '/v1/lost')
+    return {item['key'].partition('/')[2] for item in response.json()}
 
 
-def resolve(fleet: Fleet, key: str, outcome: str) -> int:
-    """Resolve a key of the first organisation; return the status."""
+def resolve_key(fleet: Fleet, key: str, outcome: str) -> int:
+    """Resolve a lost key of the first organisation; return the HTTP status."""
     quoted = quote(f'organisation-01/{key}', safe='')
-    order = {'outcome': outcome, 'author': 'test'}
-    return fleet.admin_call('POST', f'/v1/lost/{quoted}/resolve', order).status
+    resolution = {'outcome': outcome, 'author': 'test'}
+    return fleet.admin_call(
+        'POST', f'/v1/lost/{quoted}/resolve', resolution
+    ).status
 
 
-def settled(fleet: Fleet) -> bool:
-    """Tell whether all entries reach the log and know of every key."""
+def all_keys_settled(fleet: Fleet) -> bool:
+    """Tell whether all entries reach the log and no key is open or queued."""
     statuses = [fleet.status(entry) for entry in fleet.entries]
     return all(
         status
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Give each caller its own whole answer while connections fail under it."""
+"""Give each caller its own complete response while connections fail."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 @pytest.fixture(scope='module')
-def streaming(request: pytest.FixtureRequest) -> Iterator[Fleet]:
+def streaming_fleet(request: pytest.FixtureRequest) -> Iterator[Fleet]:
     del request
     plan = FleetPlan(
         entries=2,
@@ -35,27 +35,28 @@
         yield running
 
 
-def _expected(prompt: str) -> bytes:
+def _expected_stream(prompt: str) -> bytes:
     tokens = [token_text(prompt, index) for index in range(TOKENS)]
-    events = ''.join(f'data: {{"token":"{one}"}}\n\n' for one in tokens)
+    events = ''.join(f'data: {{"token":"{token}"}}\n\n' for token in tokens)
     return events.encode() + LAST_EVENT
 
 
-def _all_running(fleet: Fleet, more: int) -> None:
-    wait_until(lambda: len(_unfinished(fleet)) >= more)
+def _wait_running(fleet: Fleet, count: int) -> None:
+    wait_until(lambda: len(_unfinished_upstreams(fleet)) >= count)
 
 
-def _unfinished(fleet: Fleet) -> list[UpstreamProcess]:
+def _unfinished_upstreams(fleet: Fleet) -> list[UpstreamProcess]:
+    """Return the upstream of each unfinished run, once for each run."""
     return [
-        one
-        for one in fleet.of_service(fleet.deployment.model)
-        for run in http_call(one.url, 'GET', '/control/runs').json()
+        upstream
+        for upstream in fleet.of_service(fleet.deployment.model)
+        for run in http_call(upstream.url, 'GET', '/control/runs').json()
         if not run['finished']
     ]
 
 
 def _stream(fleet: Fleet, prompt: str) -> bytes:
-    """Return what a caller got; a cut answer raises."""
+    """Return the body that a caller received; raise if it is truncated."""
     entry = fleet.entries[len(prompt) % 2]
     return draft(fleet, entry, prompt, TOKENS).body
 
@@ -65,88 +66,106 @@
 
 
 def _connections(fleet: Fleet) -> list[int]:
-    return [one.relay.connections for one in fleet.upstreams if one.relay]
+    return [
+        upstream.relay.connections
+        for upstream in fleet.upstreams
+        if upstream.relay
+    ]
 
 
-@pytest.mark.parametrize('act', ['cut', 'silence'])
-def test_stream_resumes_at_the_last_byte(streaming: Fleet, act: str) -> None:
-    prompts = _prompts(act)
+@pytest.mark.parametrize('relay_fault', ['cut', 'silence'])
+def test_stream_resumes_at_the_last_received_byte(
+    streaming_fleet: Fleet, relay_fault: str
+) -> None:
+    prompts = _prompts(relay_fault)
     with ThreadPoolExecutor(STREAMS) as pool:
-        answers = pool.map(lambda one: _stream(streaming, one), prompts)
-        _all_running(streaming, STREAMS)
-        before = _connections(streaming)
-        for one in streaming.upstreams:
-            getattr(one.relay, act)()
-        assert [_expected(prompt) for prompt in prompts] == list(answers)
-    after = _connections(streaming)
+        responses = pool.map(
+            lambda prompt: _stream(streaming_fleet, prompt), prompts
+        )
+        _wait_running(streaming_fleet, STREAMS)
+        before = _connections(streaming_fleet)
+        for upstream in streaming_fleet.upstreams:
+            getattr(upstream.relay, relay_fault)()
+        assert [_expected_stream(prompt) for prompt in prompts] == list(
+            responses
+        )
+    after = _connections(streaming_fleet)
     assert all(new > old for new, old in zip(after, before, strict=True))
 
 
-def test_answer_of_a_killed_sidecar_is_visibly_cut(streaming: Fleet) -> None:
+def test_stream_of_a_killed_sidecar_is_visibly_truncated(
+    streaming_fleet: Fleet,
+) -> None:
     prompts = _prompts('killed')
     with ThreadPoolExecutor(STREAMS) as pool:
-        streams = [pool.submit(_stream, streaming, one) for one in prompts]
-        _all_running(streaming, STREAMS)
-        victims = streaming.of_service('redattore')
-        for victim in victims:
-            victim.sidecar.kill()
+        streams = [
+            pool.submit(_stream, streaming_fleet, prompt) for prompt in prompts
+        ]
+        _wait_running(streaming_fleet, STREAMS)
+        killed_upstreams = streaming_fleet.of_service('redattore')
+        for killed_upstream in killed_upstreams:
+            killed_upstream.sidecar.kill()
         errors = [stream.exception() for stream in streams]
-    for victim in victims:
-        victim.sidecar.restart()
-    for entry in streaming.entries:
-        streaming.wait_entry_ready(entry)
-    assert all(isinstance(one, client.HTTPException) for one in errors)
-
-
-def test_answer_of_a_cut_upstream_is_visibly_cut(streaming: Fleet) -> None:
-    for one in streaming.of_service('redattore'):
-        one.set_faults(cut_after_bytes=200)
+    for killed_upstream in killed_upstreams:
+        killed_upstream.sidecar.restart()
+    for entry in streaming_fleet.entries:
+        streaming_fleet.wait_entry_ready(entry)
+    assert all(isinstance(error, client.HTTPException) for error in errors)
+
+
+def test_stream_cut_by_the_upstream_is_visibly_truncated(
+    streaming_fleet: Fleet,
+) -> None:
+    for upstream in streaming_fleet.of_service('redattore'):
+        upstream.set_faults(cut_after_bytes=200)
     try:
         with pytest.raises(client.IncompleteRead):
-            draft(streaming, streaming.entries[0], 'cut', TOKENS)
+            draft(streaming_fleet, streaming_fleet.entries[0], 'cut', TOKENS)
     finally:
-        for one in streaming.of_service('redattore'):
-            one.set_faults(cut_after_bytes=None)
+        for upstream in streaming_fleet.of_service('redattore'):
+            upstream.set_faults(cut_after_bytes=None)
 
 
-def test_plain_answer_survives_a_lost_sidecar(streaming: Fleet) -> None:
+def test_plain_response_is_retried_after_a_sidecar_is_killed(
+    streaming_fleet: Fleet,
+) -> None:
     with ThreadPoolExecutor(1) as pool:
-        answer = pool.submit(
+        future = pool.submit(
             draft,
-            streaming,
-            streaming.entries[0],
+            streaming_fleet,
+            streaming_fleet.entries[0],
             'tried twice',
             200,
             stream=False,
         )
-        _all_running(streaming, 1)
-        victim = _unfinished(streaming)[0]
-        victim.sidecar.kill()
-        found = answer.result()
-    victim.sidecar.restart()
-    for entry in streaming.entries:
-        streaming.wait_entry_ready(entry)
-    assert found.status == 200
-    assert found.json()['upstream'] != victim.name
-
-
-def test_caller_that_goes_frees_its_slot(streaming: Fleet) -> None:
-    before = len(_unfinished(streaming))
+        _wait_running(streaming_fleet, 1)
+        killed_upstream = _unfinished_upstreams(streaming_fleet)[0]
+        killed_upstream.sidecar.kill()
+        response = future.result()
+    killed_upstream.sidecar.restart()
+    for entry in streaming_fleet.entries:
+        streaming_fleet.wait_entry_ready(entry)
+    assert response.status == 200
+    assert response.json()['upstream'] != killed_upstream.name
+
+
+def test_disconnected_caller_frees_its_slot(streaming_fleet: Fleet) -> None:
+    before = len(_unfinished_upstreams(streaming_fleet))
     connection = client.HTTPConnection(
-        streaming.entries[0].url.removeprefix('http://'),
+        streaming_fleet.entries[0].url.removeprefix('http://'),
     )
     body = (
         b'{"model":"redattore","prompt":"gone","max_tokens":9999,"stream":true}'
     )
-    connection.request('POST', '/v1/completions', body, auth(streaming))
-    answer = connection.getresponse()
-    assert answer.read(10)
-    answer.close()
+    connection.request('POST', '/v1/completions', body, auth(streaming_fleet))
+    response = connection.getresponse()
+    assert response.read(10)
+    response.close()
     connection.close()
-    wait_until(lambda: _running_now(streaming) == 0, 10)
-    assert len(_unfinished(streaming)) >= before
+    wait_until(lambda: _count_running(streaming_fleet) == 0, 10)
+    assert len(_unfinished_upstreams(streaming_fleet)) >= before
 
 
-def _running_now(fleet: Fleet) -> int:
+def _count_running(fleet: Fleet) -> int:
     status = fleet.status(fleet.entries[0])
-    return sum(one['running'] for one in status['upstreams'])
+    return sum(upstream['running'] for upstream in status['upstreams'])
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Run keyed work at most once and lose none silently, under every fault."""
+"""Run keyed requests at most once and lose none silently, under faults."""
 
 from __future__ import annotations
 
@@ -17,18 +17,24 @@
 from .client import file_order
 from .evidence import Seen, appends_unanswered, latest_stamp, peers_lost
 from .faults import FAULTS, Fault
-from .keyedworkload import Workload, check_promises, lose, lost_keys, settled
+from .keyedworkload import (
+    Workload,
+    all_keys_settled,
+    check_outcomes,
+    lose_key,
+    lost_keys,
+)
 
-#: Longer than every lease and staleness bound of the design (3 s).
-HOLD_S = 3.6
+#: Longer than every lease and staleness limit of the processes (3 s).
+FAULT_S = 3.6
 BEFORE_S = 0.4
 AFTER_S = 1.0
 RETENTION_MS = 3000
 DAY_MS = 86_400_000
 PAIR_SEED = 20261204
 PAIRS = 6
-#: Pairs that have failed when all of them were tried.
-FAILED_ONCE = (
+#: Pairs that failed in a run of all pairs; they are always tested.
+FAILED_BEFORE = (
     {'sidecar paused', 'log down'},
     {'messages late', 'log down'},
     {'connections silent', 'log down'},
@@ -37,120 +43,129 @@
 )
 
 
-def _pairs() -> list[tuple[Fault, Fault]]:
-    every = list(itertools.combinations(FAULTS, 2))
-    drawn = random.Random(PAIR_SEED).sample(every, PAIRS)
+def _choose_pairs() -> list[tuple[Fault, Fault]]:
+    all_pairs = list(itertools.combinations(FAULTS, 2))
+    sampled = random.Random(PAIR_SEED).sample(all_pairs, PAIRS)
     failed = [
-        pair for pair in every if {one.name for one in pair} in FAILED_ONCE
+        pair
+        for pair in all_pairs
+        if {fault.name for fault in pair} in FAILED_BEFORE
     ]
-    return drawn + [pair for pair in failed if pair not in drawn]
+    return sampled + [pair for pair in failed if pair not in sampled]
 
 
 @pytest.fixture(scope='module')
-def faulty() -> Iterator[Fleet]:
+def faulty_fleet() -> Iterator[Fleet]:
     plan = FleetPlan('valtrebbia', 2, replicas=0, services=3, relays=True)
     with running_fleet(plan) as running:
         yield running
 
 
 @pytest.fixture(autouse=True)
-def _whole_again(faulty: Fleet) -> Iterator[None]:
+def _wait_recovered(faulty_fleet: Fleet) -> Iterator[None]:
     yield
-    for entry in faulty.entries:
-        faulty.wait_entry_ready(entry)
-    wait_until(lambda: settled(faulty))
+    for entry in faulty_fleet.entries:
+        faulty_fleet.wait_entry_ready(entry)
+    wait_until(lambda: all_keys_settled(faulty_fleet))
 
 
 @pytest.mark.parametrize('fault', FAULTS, ids=lambda fault: fault.name)
-def test_one_fault(faulty: Fleet, fault: Fault) -> None:
-    _try(faulty, (fault,))
+def test_one_fault(faulty_fleet: Fleet, fault: Fault) -> None:
+    _run_with_faults(faulty_fleet, (fault,))
 
 
 @pytest.mark.parametrize(
     'faults',
-    _pairs(),
-    ids=lambda pair: ' and '.join(one.name for one in pair),
+    _choose_pairs(),
+    ids=lambda pair: ' and '.join(fault.name for fault in pair),
 )
-def test_two_faults(faulty: Fleet, faults: tuple[Fault, ...]) -> None:
-    _try(faulty, faults)
+def test_two_faults(faulty_fleet: Fleet, faults: tuple[Fault, ...]) -> None:
+    _run_with_faults(faulty_fleet, faults)
 
 
-def test_key_that_ran_is_known_in_a_log_outage(faulty: Fleet) -> None:
+def test_restarted_entry_finds_a_run_key_in_a_log_outage(
+    faulty_fleet: Fleet,
+) -> None:
     key = 'before-the-outage'
-    first = file_order(faulty, faulty.entries[0], key)
-    forgetful = faulty.entries[1]
-    faulty.fault_platform(log='down')
-    forgetful.child.kill()
-    forgetful.child.restart()
+    first_response = file_order(faulty_fleet, faulty_fleet.entries[0], key)
+    restarted_entry = faulty_fleet.entries[1]
+    faulty_fleet.fault_platform(log='down')
+    restarted_entry.child.kill()
+    restarted_entry.child.restart()
     try:
-        faulty.wait_entry_ready(forgetful)
-        again = file_order(faulty, forgetful, key)
-        fresh = file_order(faulty, forgetful, 'in-the-outage')
+        faulty_fleet.wait_entry_ready(restarted_entry)
+        retried = file_order(faulty_fleet, restarted_entry, key)
+        new_key_response = file_order(
+            faulty_fleet, restarted_entry, 'in-the-outage'
+        )
     finally:
-        faulty.fault_platform(log='up')
-    assert (again.status, again.body) == (200, first.body)
-    assert (fresh.status, fresh.headers['x-outcome']) == (503, 'not-run')
-    ran = [run['key'] for run in faulty.runs('sportello')]
-    assert (ran.count(key), ran.count('in-the-outage')) == (1, 0)
-
-
-def test_outage_with_silent_sidecars_finds_who_ran_the_key(
-    faulty: Fleet,
+        faulty_fleet.fault_platform(log='up')
+    assert (retried.status, retried.body) == (200, first_response.body)
+    assert (new_key_response.status, new_key_response.headers['x-outcome']) == (
+        503,
+        'not-run',
+    )
+    run_keys = [run['key'] for run in faulty_fleet.runs('sportello')]
+    assert (run_keys.count(key), run_keys.count('in-the-outage')) == (1, 0)
+
+
+def test_log_outage_with_paused_sidecars_finds_the_sidecar_that_ran(
+    faulty_fleet: Fleet,
 ) -> None:
     key = 'known-to-one'
-    first = file_order(faulty, faulty.entries[0], key)
-    assert first.status == 200, first.body
-    forgetful = faulty.entries[1]
-    silent = [
-        one.sidecar
-        for one in faulty.of_service('sportello')
-        if not _ran_at(one, key)
+    first_response = file_order(faulty_fleet, faulty_fleet.entries[0], key)
+    assert first_response.status == 200, first_response.body
+    restarted_entry = faulty_fleet.entries[1]
+    paused_sidecars = [
+        upstream.sidecar
+        for upstream in faulty_fleet.of_service('sportello')
+        if not _has_run(upstream, key)
     ]
-    assert len(silent) == 2
-    faulty.fault_platform(log='down')
-    forgetful.child.kill()
-    forgetful.child.restart()
+    assert len(paused_sidecars) == 2
+    faulty_fleet.fault_platform(log='down')
+    restarted_entry.child.kill()
+    restarted_entry.child.restart()
     try:
-        faulty.wait_entry_ready(forgetful)
-        wait_until(lambda: _connected(faulty, forgetful) == 3)
-        for sidecar in silent:
+        faulty_fleet.wait_entry_ready(restarted_entry)
+        wait_until(lambda: _count_connected(faulty_fleet, restarted_entry) == 3)
+        for sidecar in paused_sidecars:
             sidecar.pause()
-        again = file_order(faulty, forgetful, key)
+        retried = file_order(faulty_fleet, restarted_entry, key)
     finally:
-        for sidecar in silent:
+        for sidecar in paused_sidecars:
             sidecar.resume()
-        faulty.fault_platform(log='up')
-    assert (again.status, again.body) == (200, first.body)
+        faulty_fleet.fault_platform(log='up')
+    assert (retried.status, retried.body) == (200, first_response.body)
 
 
-def test_lost_list_outlives_the_log_retention(faulty: Fleet) -> None:
+def test_lost_list_outlives_the_log_retention(faulty_fleet: Fleet) -> None:
     key = 'lost-for-long'
-    lose(faulty, key)
-    faulty.fault_platform(retention_ms=RETENTION_MS)
+    lose_key(faulty_fleet, key)
+    faulty_fleet.fault_platform(retention_ms=RETENTION_MS)
     try:
-        wait_until(lambda: _only_lost_are_known(faulty))
+        wait_until(lambda: _only_lost_keys_remain(faulty_fleet))
         time.sleep(2 * RETENTION_MS / 1000)
-        assert key in lost_keys(faulty)
-        again = file_order(faulty, faulty.entries[1], key)
+        assert key in lost_keys(faulty_fleet)
+        retried = file_order(faulty_fleet, faulty_fleet.entries[1], key)
     finally:
-        faulty.fault_platform(retention_ms=DAY_MS)
-    assert (again.status, again.json()['reason']) == (409, 'key-lost')
+        faulty_fleet.fault_platform(retention_ms=DAY_MS)
+    assert (retried.status, retried.json()['reason']) == (409, 'key-lost')
 
 
-def _only_lost_are_known(fleet: Fleet) -> bool:
-    """Tell whether all keys that ran have been dropped with the log."""
-    found = [_status(fleet, entry)['filings'] for entry in fleet.entries]
-    return all(one['known'] == one['lost'] for one in found)
+def _only_lost_keys_remain(fleet: Fleet) -> bool:
+    """Tell whether all keys but the lost ones have expired with the log."""
+    key_counts = [_status(fleet, entry)['filings'] for entry in fleet.entries]
+    return all(counts['known'] == counts['lost'] for counts in key_counts)
 
 
-def _ran_at(upstream: UpstreamProcess, key: str) -> bool:
+def _has_run(upstream: UpstreamProcess, key: str) -> bool:
     runs = http_call(upstream.url, 'GET', '/control/runs').json()
     return key in {run['key'] for run in runs}
 
 
-def _connected(fleet: Fleet, entry: EntryProcess) -> int:
+def _count_connected(fleet: Fleet, entry: EntryProcess) -> int:
     upstreams = _status(fleet, entry)['upstreams']
-    return sum(one['connected'] for one in upstreams)
+    return sum(upstream['connected'] for upstream in upstreams)
 
 
 def _status(fleet: Fleet, entry: EntryProcess) -> dict[str, Any]:
@@ -159,36 +174,38 @@
     return status
 
 
-def _try(fleet: Fleet, faults: tuple[Fault, ...]) -> None:
+def _run_with_faults(fleet: Fleet, faults: tuple[Fault, ...]) -> None:
     since = latest_stamp(fleet)
     unanswered = appends_unanswered(fleet)
     name = '+'.join(fault.name.replace(' ', '-') for fault in faults)
     workload = Workload(fleet, name)
     workload.start()
     time.sleep(BEFORE_S)
-    _hold(fleet, faults)
+    _inject_faults(fleet, faults)
     time.sleep(AFTER_S)
     workload.stop()
-    told = check_promises(fleet, workload)
-    assert told['ran'], told
-    lost = peers_lost(fleet, since)
+    outcome_counts = check_outcomes(fleet, workload)
+    assert outcome_counts['ran'], outcome_counts
+    lost_count = peers_lost(fleet, since)
     unanswered = appends_unanswered(fleet) - unanswered
-    seen = Seen(told, workload.longest_s, lost, unanswered)
-    # Of two faults one may hide the other.
-    noticeable = [fault.felt for fault in faults if fault.felt is not None]
-    assert not noticeable or any(felt(seen) for felt in noticeable), seen
+    evidence = Seen(
+        outcome_counts, workload.max_duration_s, lost_count, unanswered
+    )
+    # One of two faults may mask the other, so one visible effect is enough.
+    checks = [fault.felt for fault in faults if fault.felt is not None]
+    assert not checks or any(check(evidence) for check in checks), evidence
 
 
-def _hold(fleet: Fleet, faults: tuple[Fault, ...]) -> None:
-    """Have the faults for a while, the first within the others.
+def _inject_faults(fleet: Fleet, faults: tuple[Fault, ...]) -> None:
+    """Inject the faults for ``FAULT_S`` seconds, the first within the others.
 
-    A paused process cannot be told of its faults, so the one that pauses,
-    which is listed first, begins last.
+    A paused process cannot be given faults, so the fault that pauses one, which
+    is listed first, begins last.
     """
     try:
         for fault in reversed(faults):
             fault.begin(fleet)
-        time.sleep(HOLD_S)
+        time.sleep(FAULT_S)
     finally:
         for fault in faults:
             fault.end(fleet)
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""Take an answer's frames late, repeated, crossed or with gaps."""
+"""Accept a response's frames when duplicated, overlapping or truncated."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 HEAD = Head('r', 0, 200, ())
 END = End('r', 0, len(BODY), xxhash.xxh3_64_intdigest(BODY))
 
-WHOLE = [
+COMPLETE_RESPONSES = [
     [HEAD, Part('r', 0, BODY), END],
     [HEAD, HEAD, Part('r', 0, BODY[:5]), Part('r', 5, BODY[5:]), END],
-    # A resumption sends again what was received before.
+    # A resumed response repeats bytes that were received before.
     [HEAD, Part('r', 0, BODY[:7]), Part('r', 3, BODY[3:]), END],
     [HEAD, Part('r', 0, BODY), Part('r', 0, BODY[:4]), END, END],
     [HEAD, Part('r', 0, BODY), END, Broken('r', 0, 'upstream-broken')],
 ]
-CUT = [
+TRUNCATED_RESPONSES = [
     [HEAD, Part('r', 0, BODY[:5]), END],
     [HEAD, Part('r', 0, BODY[:5]), Part('r', 6, BODY[6:]), END],
     [HEAD, Part('r', 0, bytes(reversed(BODY))), END],
@@ -38,10 +38,11 @@
 ]
 
 
-AnswerFrame = Head | Part | End | Refused | Broken
+ResponseFrame = Head | Part | End | Refused | Broken
 
 
-def _take(frames: list[AnswerFrame]) -> bytes | Refusal:
+def _read_response(frames: list[ResponseFrame]) -> bytes | Refusal:
+    """Return the body or the failure that an exchange derives from frames."""
     exchange = Exchange(RequestId('r'), build.dispatch('r', 'i'))
     for frame in frames:
         exchange.accept_frame(frame)
@@ -55,26 +56,28 @@
     return trio.run(read)
 
 
-@pytest.mark.parametrize('frames', WHOLE)
-def test_whole_answer(frames: list[AnswerFrame]) -> None:
-    assert _take(frames) == BODY
+@pytest.mark.parametrize('frames', COMPLETE_RESPONSES)
+def test_frames_give_complete_response(frames: list[ResponseFrame]) -> None:
+    assert _read_response(frames) == BODY
 
 
-@pytest.mark.parametrize('frames', CUT)
-def test_cut_answer_is_no_answer(frames: list[AnswerFrame]) -> None:
-    found = _take(frames)
-    assert isinstance(found, Refusal)
-    assert found.outcome is Outcome.UNKNOWN
+@pytest.mark.parametrize('frames', TRUNCATED_RESPONSES)
+def test_truncated_response_has_unknown_outcome(
+    frames: list[ResponseFrame],
+) -> None:
+    response = _read_response(frames)
+    assert isinstance(response, Refusal)
+    assert response.outcome is Outcome.UNKNOWN
 
 
-def test_frames_go_to_their_own_exchange() -> None:
+def test_frames_are_delivered_by_request_id() -> None:
     metrics = Metrics()
     in_flight = InFlight(metrics)
-    mine = Exchange(RequestId('mine'), build.dispatch('mine', 'i'))
-    other = Exchange(RequestId('other'), build.dispatch('other', 'i'))
-    for exchange in (mine, other):
+    first = Exchange(RequestId('first'), build.dispatch('first', 'i'))
+    second = Exchange(RequestId('second'), build.dispatch('second', 'i'))
+    for exchange in (first, second):
         in_flight.add(exchange)
-    in_flight.deliver(Part('other', 0, b'not mine'))
+    in_flight.deliver(Part('second', 0, b'not mine'))
     in_flight.deliver(Part('earlier', 0, b'nobody'))
-    assert (mine.received, other.received) == (0, len(b'not mine'))
+    assert (first.received, second.received) == (0, len(b'not mine'))
     assert b'amaranthrail_frames_unknown_total 1.0' in metrics_text(metrics)
--- a/tests/test_key_table.py
+++ b/tests/test_key_table.py
@@ -1,4 +1,4 @@
-"""Derive one truth about every key from the records in order."""
+"""Derive the same state of every key from the same records."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
 VOID = FilingState.VOID
 LOST = FilingState.LOST
 
-FACTS = [
-    # what the log says in order, and where the key stands then
+FACT_SEQUENCES = [
+    # The facts in log order, the key's final state and the claiming intent.
     ([build.intent('a', '1')], OPEN, '1'),
     ([build.intent('a', '1'), build.intent('a', '2')], OPEN, '1'),
     ([build.intent('a', '1'), build.conclusion('a', '1', RAN)], RAN, '1'),
@@ -98,43 +98,47 @@
 ]
 
 
-@pytest.mark.parametrize(('facts', 'state', 'intent'), FACTS)
-def test_facts_in_order(
+@pytest.mark.parametrize(('facts', 'state', 'intent'), FACT_SEQUENCES)
+def test_facts_applied_twice_in_order(
     facts: list[AnyFact],
     state: FilingState,
     intent: str,
 ) -> None:
-    ledger = KeyTable()
+    table = KeyTable()
 
     offset = 0
     for fact in facts:
         text = encode_record(FilingBatch(id='x', facts=(fact,)))
         for _ in range(2):
             offset += 1
-            ledger.apply(0, LogEntry(Offset(offset), 0, text))
-    filing = ledger.find(FilingKey('a'))
-    assert filing is not None
-    assert (filing.state, filing.intent.id) == (state, intent)
+            table.apply(0, LogEntry(Offset(offset), 0, text))
+    record = table.find(FilingKey('a'))
+    assert record is not None
+    assert (record.state, record.intent.id) == (state, intent)
 
 
 class AtMostOnce(RuleBasedStateMachine):
-    """Drive real ledgers and a real gate with late, repeated, lost steps."""
+    """Drive real key tables and a real gate with delayed and repeated messages.
+
+    Two entries claim keys, read the log at different speeds and dispatch to
+    one sidecar, whose gate must let each key run at most once.
+    """
 
     def __init__(self) -> None:
         super().__init__()
         self.now_ms = 0.0
         self.clock = Clock(self.now_s, self.now_s)
         self.log: list[bytes] = []
-        self.ledgers = [KeyTable() for _ in range(ENTRIES)]
-        self.read = [0 for _ in range(ENTRIES)]
-        #: Intents by id: the entry that made each, its time and its key.
-        self.made: dict[str, tuple[int, float, str]] = {}
-        self.heard = [(Incarnation('s0'), 0.0) for _ in range(ENTRIES)]
-        self.flying: list[Dispatch] = []
+        self.tables = [KeyTable() for _ in range(ENTRIES)]
+        self.read_counts = [0 for _ in range(ENTRIES)]
+        #: By intent id: the entry that claims, the time in ms and the key.
+        self.intents: dict[str, tuple[int, float, str]] = {}
+        self.heartbeats = [(Incarnation('s0'), 0.0) for _ in range(ENTRIES)]
+        self.in_transit: list[Dispatch] = []
         self.ran: dict[str, int] = {}
         self.running: dict[str, Run] = {}
         self.restarts = 0
-        self.orders = 0
+        self.drain_orders = 0
         self.configuration = Configuration()
         self.gate = self.make_gate()
 
@@ -150,93 +154,97 @@
 
     @rule(entry=st.integers(0, ENTRIES - 1), key=st.sampled_from(KEYS))
     def claim(self, entry: int, key: str) -> None:
-        filing = self.ledgers[entry].find(FilingKey(key))
-        if filing is not None and filing.state is not VOID:
+        record = self.tables[entry].find(FilingKey(key))
+        if record is not None and record.state is not VOID:
             return
-        name = f'{entry}-{len(self.made)}'
-        attempt = 1 if filing is None else filing.intent.attempt + 1
-        incarnation = self.heard[entry][0]
-        self.made[name] = (entry, self.now_ms, key)
-        self.append(build.intent(key, name, attempt, incarnation=incarnation))
+        intent_id = f'{entry}-{len(self.intents)}'
+        attempt = 1 if record is None else record.intent.attempt + 1
+        incarnation = self.heartbeats[entry][0]
+        self.intents[intent_id] = (entry, self.now_ms, key)
+        self.append(
+            build.intent(key, intent_id, attempt, incarnation=incarnation)
+        )
 
     @precondition(lambda self: self.log)
     @rule(data=st.data())
-    def repeat_append(self, data: st.DataObject) -> None:
+    def append_duplicate(self, data: st.DataObject) -> None:
         self.log.append(data.draw(st.sampled_from(self.log)))
 
     @rule(entry=st.integers(0, ENTRIES - 1), count=st.integers(1, 4))
     def read_log(self, entry: int, count: int) -> None:
-        start = self.read[entry]
+        start = self.read_counts[entry]
         for text in self.log[start : start + count]:
-            self.read[entry] += 1
-            record = LogEntry(Offset(self.read[entry]), 0, text)
-            self.ledgers[entry].apply(0, record)
+            self.read_counts[entry] += 1
+            record = LogEntry(Offset(self.read_counts[entry]), 0, text)
+            self.tables[entry].apply(0, record)
 
     @rule(entry=st.integers(0, ENTRIES - 1))
-    def hear_heartbeat(self, entry: int) -> None:
-        self.heard[entry] = (Incarnation(f's{self.restarts}'), self.now_ms)
+    def receive_heartbeat(self, entry: int) -> None:
+        self.heartbeats[entry] = (Incarnation(f's{self.restarts}'), self.now_ms)
 
-    @rule(passed=st.sampled_from([100.0, 1000.0, 4000.0, 15_000.0]))
-    def pass_time(self, passed: float) -> None:
-        self.now_ms += passed
+    @rule(elapsed_ms=st.sampled_from([100.0, 1000.0, 4000.0, 15_000.0]))
+    def advance_clock(self, elapsed_ms: float) -> None:
+        self.now_ms += elapsed_ms
         self.gate.sweep()
 
-    @precondition(lambda self: self.made)
+    @precondition(lambda self: self.intents)
     @rule(data=st.data())
     def send_dispatch(self, data: st.DataObject) -> None:
-        name = data.draw(st.sampled_from(sorted(self.made)))
-        entry, made_at, key = self.made[name]
-        filing = self.ledgers[entry].find(FilingKey(key))
-        if filing is None or filing.intent.id != name:
+        intent_id = data.draw(st.sampled_from(sorted(self.intents)))
+        entry, created_at, key = self.intents[intent_id]
+        record = self.tables[entry].find(FilingKey(key))
+        if record is None or record.intent.id != intent_id:
             return
-        incarnation, clock = self.heard[entry]
-        late = self.now_ms - made_at > MAX_CLAIM_MS
-        if late or filing.intent.incarnation != incarnation:
+        incarnation, clock = self.heartbeats[entry]
+        is_late = self.now_ms - created_at > MAX_CLAIM_MS
+        if is_late or record.intent.incarnation != incarnation:
             return
-        self.flying.append(
-            build.dispatch(f'r{name}', incarnation, clock=clock, intent=name),
+        self.in_transit.append(
+            build.dispatch(
+                f'r{intent_id}', incarnation, clock=clock, intent=intent_id
+            ),
         )
 
-    @precondition(lambda self: self.flying)
+    @precondition(lambda self: self.in_transit)
     @rule(data=st.data())
-    def deliver(self, data: st.DataObject) -> None:
-        # A copy stays on the way, to come again as late as it pleases.
-        sent = data.draw(st.sampled_from(self.flying))
-        found = self.gate.check(sent)
-        if found is None:
-            run = Run(sent, self.now_ms)
+    def deliver_dispatch(self, data: st.DataObject) -> None:
+        # The dispatch stays in transit: a duplicate may arrive at any time.
+        dispatch = data.draw(st.sampled_from(self.in_transit))
+        decision = self.gate.check(dispatch)
+        if decision is None:
+            run = Run(dispatch, self.now_ms)
             self.gate.enter(run)
-            self.running[sent.intent] = run
-            key = self.made[sent.intent][2]
+            self.running[dispatch.intent] = run
+            key = self.intents[dispatch.intent][2]
             self.ran[key] = self.ran.get(key, 0) + 1
-        elif isinstance(found, Refusal):
-            key = self.made[sent.intent][2]
-            self.append(build.conclusion(key, sent.intent, VOID))
+        elif isinstance(decision, Refusal):
+            key = self.intents[dispatch.intent][2]
+            self.append(build.conclusion(key, dispatch.intent, VOID))
 
-    @precondition(lambda self: self.made)
+    @precondition(lambda self: self.intents)
     @rule(data=st.data(), entry=st.integers(0, ENTRIES - 1))
     def inquire(self, data: st.DataObject, entry: int) -> None:
         key = data.draw(st.sampled_from(KEYS))
-        filing = self.ledgers[entry].find(FilingKey(key))
+        record = self.tables[entry].find(FilingKey(key))
         current = Incarnation(f's{self.restarts}')
-        if filing is None or filing.state is not FilingState.OPEN:
+        if record is None or record.state is not FilingState.OPEN:
             return
         state = LOST
-        if filing.intent.incarnation == current:
-            run = self.gate.inquire(filing.intent.id)
+        if record.intent.incarnation == current:
+            run = self.gate.inquire(record.intent.id)
             state = VOID if run is None else RAN
-        self.append(build.conclusion(key, filing.intent.id, state))
+        self.append(build.conclusion(key, record.intent.id, state))
 
     @precondition(lambda self: self.running)
     @rule(data=st.data())
-    def finish(self, data: st.DataObject) -> None:
-        name = data.draw(st.sampled_from(sorted(self.running)))
-        self.running.pop(name).complete(self.now_ms)
+    def finish_run(self, data: st.DataObject) -> None:
+        intent_id = data.draw(st.sampled_from(sorted(self.running)))
+        self.running.pop(intent_id).complete(self.now_ms)
 
     @rule(draining=st.booleans())
     def drain(self, *, draining: bool) -> None:
-        self.orders += 1
-        self.configuration.adopt(0, b'', (('u', self.orders, draining),))
+        self.drain_orders += 1
+        self.configuration.adopt(0, b'', (('u', self.drain_orders, draining),))
 
     @rule()
     def restart_sidecar(self) -> None:
@@ -246,14 +254,14 @@
 
     @invariant()
     def each_key_ran_at_most_once(self) -> None:
-        assert all(times <= 1 for times in self.ran.values()), self.ran
+        assert all(count <= 1 for count in self.ran.values()), self.ran
 
     @invariant()
-    def equal_positions_mean_equal_ledgers(self) -> None:
-        if self.read[0] == self.read[1]:
+    def equal_positions_mean_equal_tables(self) -> None:
+        if self.read_counts[0] == self.read_counts[1]:
             for key in KEYS:
-                first = self.ledgers[0].find(FilingKey(key))
-                assert first == self.ledgers[1].find(FilingKey(key))
+                record = self.tables[0].find(FilingKey(key))
+                assert record == self.tables[1].find(FilingKey(key))
 
 
 AtMostOnce.TestCase.settings = settings(
@@ -265,6 +273,6 @@
 TestAtMostOnce = AtMostOnce.TestCase
 
 
-def test_void_outlives_what_could_still_be_dispatched() -> None:
+def test_void_is_kept_longer_than_a_dispatch_can_be_accepted() -> None:
 
     assert VOID_KEPT_MS > MAX_CLAIM_MS + STALE_AFTER_MS
--- a/tests/test_same_key.py
+++ b/tests/test_same_key.py
@@ -1,4 +1,4 @@
-"""Run a key once however many ask for it, wherever and whenever they do."""
+"""Run a key once, however many callers use it at any entry and time."""
 
 from __future__ import annotations
 
@@ -9,82 +9,101 @@
 from standins.fleet import Fleet
 
 from .client import file_order
-from .keyedworkload import lose, lost_keys, resolve
+from .keyedworkload import lose_key, lost_keys, resolve_key
 
 KEYS = 12
-ASKERS = 4
+CALLERS_PER_KEY = 4
 
 
-def test_one_key_at_both_entries_at_once(fleet: Fleet) -> None:
-    asks = [
-        (f'same-{number}', fleet.entries[asker % 2])
+def test_concurrent_calls_at_two_entries_run_a_key_once(fleet: Fleet) -> None:
+    requests = [
+        (f'same-{number}', fleet.entries[caller % 2])
         for number in range(KEYS)
-        for asker in range(ASKERS)
+        for caller in range(CALLERS_PER_KEY)
     ]
-    with ThreadPoolExecutor(len(asks)) as pool:
-        answers = list(
-            pool.map(lambda ask: file_order(fleet, ask[1], ask[0]), asks)
+    with ThreadPoolExecutor(len(requests)) as pool:
+        responses = list(
+            pool.map(
+                lambda request: file_order(fleet, request[1], request[0]),
+                requests,
+            )
         )
-    assert [one.status for one in answers] == [200 for _ in asks]
+    assert [response.status for response in responses] == [
+        200 for _ in requests
+    ]
     bodies = {
-        (key, answer.body)
-        for (key, _), answer in zip(asks, answers, strict=True)
+        (key, response.body)
+        for (key, _), response in zip(requests, responses, strict=True)
     }
     assert len(bodies) == KEYS
-    counts = Counter(run['key'] for run in fleet.runs('sportello'))
-    assert [counts[f'same-{number}'] for number in range(KEYS)] == [
+    run_counts = Counter(run['key'] for run in fleet.runs('sportello'))
+    assert [run_counts[f'same-{number}'] for number in range(KEYS)] == [
         1 for _ in range(KEYS)
     ]
 
 
-def test_later_deadline_goes_on_where_the_first_ended(fleet: Fleet) -> None:
+def test_later_deadline_continues_after_the_first_one_ends(
+    fleet: Fleet,
+) -> None:
     entry = fleet.entries[0]
     fleet.fault_platform(log='slow')
     try:
         with ThreadPoolExecutor(2) as pool:
-            hurried = pool.submit(
+            early_call = pool.submit(
                 file_order,
                 fleet,
                 entry,
                 'hurried',
                 headers={'X-Deadline-Ms': '500'},
             )
-            wait_until(lambda: _is_open(fleet) or hurried.done())
-            patient = pool.submit(
+            wait_until(lambda: _is_waiting_for_log(fleet) or early_call.done())
+            late_call = pool.submit(
                 file_order,
                 fleet,
                 entry,
                 'hurried',
                 headers={'X-Deadline-Ms': '20000'},
             )
-            first, second = hurried.result(), patient.result()
+            first_response, second_response = (
+                early_call.result(),
+                late_call.result(),
+            )
     finally:
         fleet.fault_platform(log='up')
-    assert first.headers['x-outcome'] in {'not-run', 'unknown'}
-    assert second.status == 200, second.body
-    counts = Counter(run['key'] for run in fleet.runs('sportello'))
-    assert counts['hurried'] == 1
+    assert first_response.headers['x-outcome'] in {'not-run', 'unknown'}
+    assert second_response.status == 200, second_response.body
+    run_counts = Counter(run['key'] for run in fleet.runs('sportello'))
+    assert run_counts['hurried'] == 1
 
 
-def _is_open(fleet: Fleet) -> bool:
+def _is_waiting_for_log(fleet: Fleet) -> bool:
     status = fleet.status(fleet.entries[0])
     return bool(status and status['filings']['waiting_for_log'])
 
 
-def test_key_again_after_its_outcome(fleet: Fleet) -> None:
-    first = file_order(fleet, fleet.entries[0], 'again')
-    later = [file_order(fleet, entry, 'again') for entry in fleet.entries * 3]
-    assert {(one.status, one.body) for one in later} == {(200, first.body)}
-    counts = Counter(run['key'] for run in fleet.runs('sportello'))
-    assert counts['again'] == 1
+def test_retry_after_the_outcome_gets_the_first_response(fleet: Fleet) -> None:
+    first_response = file_order(fleet, fleet.entries[0], 'again')
+    later_responses = [
+        file_order(fleet, entry, 'again') for entry in fleet.entries * 3
+    ]
+    assert {
+        (response.status, response.body) for response in later_responses
+    } == {(200, first_response.body)}
+    run_counts = Counter(run['key'] for run in fleet.runs('sportello'))
+    assert run_counts['again'] == 1
 
 
-def test_lost_key_runs_again_only_by_an_operator(fleet: Fleet) -> None:
+def test_lost_key_runs_again_only_after_an_operator_resolves_it(
+    fleet: Fleet,
+) -> None:
     key = 'cut-off'
-    first = lose(fleet, key)
-    assert (first.status, first.headers['x-outcome']) == (504, 'unknown')
-    again = file_order(fleet, fleet.entries[1], key)
-    assert (again.status, again.json()['reason']) == (409, 'key-lost')
-    assert resolve(fleet, key, 'not-run') == 200
+    first_response = lose_key(fleet, key)
+    assert (first_response.status, first_response.headers['x-outcome']) == (
+        504,
+        'unknown',
+    )
+    retried = file_order(fleet, fleet.entries[1], key)
+    assert (retried.status, retried.json()['reason']) == (409, 'key-lost')
+    assert resolve_key(fleet, key, 'not-run') == 200
     assert file_order(fleet, fleet.entries[1], key).status == 200
     assert key not in lost_keys(fleet)
