--- a/src/amaranthrail/entry/administration.py
+++ b/src/amaranthrail/entry/administration.py
@@ -69,13 +69,13 @@
 class Administration:
     """Handle the requests on the administration port of one entry."""
 
-    def __init__(self, admin: AdminContext) -> None:
+    def __init__(self, admin_context: AdminContext) -> None:
         """Take the components and register the API's routes."""
-        self._context = admin.context
-        self._keyed_requests = admin.keyed_requests
-        self._control = admin.control
-        self._log = admin.log
-        self._runtime = admin.context.runtime
+        self._context = admin_context.context
+        self._keyed_requests = admin_context.keyed_requests
+        self._control = admin_context.control
+        self._log = admin_context.log
+        self._runtime = admin_context.context.runtime
         self._routes: dict[tuple[str, str], _Handler] = {
             ('GET', '/v1/status'): self._get_status,
             ('GET', '/v1/timeline'): self._get_timeline,
@@ -284,9 +284,9 @@
     )
 
 
-def _decode_order(body: bytes, kind: type[_Order]) -> _Order | None:
+def _decode_order(body: bytes, order_type: type[_Order]) -> _Order | None:
     try:
-        return msgspec.json.decode(body, type=kind)
+        return msgspec.json.decode(body, type=order_type)
     except (msgspec.DecodeError, RecursionError):
         return None
 
