--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""Take an answer's frames late, repeated, crossed or with gaps."""
+"""Accept a response's frames when duplicated, overlapping or truncated."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 HEAD = ResponseHead('r', 0, 200, ())
 END = ResponseEnd('r', 0, len(BODY), xxhash.xxh3_64_intdigest(BODY))
 
-WHOLE = [
+COMPLETE_RESPONSES = [
     [HEAD, ResponseData('r', 0, BODY), END],
     [
         HEAD,
@@ -35,7 +35,7 @@
         ResponseData('r', 5, BODY[5:]),
         END,
     ],
-    # A resumption sends again what was received before.
+    # A resumed response repeats bytes that were received before.
     [HEAD, ResponseData('r', 0, BODY[:7]), ResponseData('r', 3, BODY[3:]), END],
     [
         HEAD,
@@ -46,7 +46,7 @@
     ],
     [HEAD, ResponseData('r', 0, BODY), END, Failed('r', 0, 'upstream-broken')],
 ]
-CUT = [
+TRUNCATED_RESPONSES = [
     [HEAD, ResponseData('r', 0, BODY[:5]), END],
     [HEAD, ResponseData('r', 0, BODY[:5]), ResponseData('r', 6, BODY[6:]), END],
     [HEAD, ResponseData('r', 0, bytes(reversed(BODY))), END],
@@ -56,43 +56,46 @@
 ]
 
 
-AnswerFrame = ResponseHead | ResponseData | ResponseEnd | Refused | Failed
+ResponseFrame = ResponseHead | ResponseData | ResponseEnd | Refused | Failed
 
 
-def _take(frames: list[AnswerFrame]) -> bytes | Refusal:
+def _read_response(frames: list[ResponseFrame]) -> bytes | Refusal:
+    """Return the body or the failure that an exchange derives from frames."""
     exchange = Exchange(RequestId('r'), build.dispatch('r', 'i'))
     for frame in frames:
-        exchange.take(frame)
+        exchange.accept_frame(frame)
 
     async def read() -> bytes | Refusal:
         head = await exchange.wait_head()
         if isinstance(head, Refusal):
             return head
-        return await exchange.read_rest()
+        return await exchange.read_body()
 
     return trio.run(read)
 
 
-@pytest.mark.parametrize('frames', WHOLE)
-def test_whole_answer(frames: list[AnswerFrame]) -> None:
-    assert _take(frames) == BODY
+@pytest.mark.parametrize('frames', COMPLETE_RESPONSES)
+def test_frames_give_complete_response(frames: list[ResponseFrame]) -> None:
+    assert _read_response(frames) == BODY
 
 
-@pytest.mark.parametrize('frames', CUT)
-def test_cut_answer_is_no_answer(frames: list[AnswerFrame]) -> None:
-    found = _take(frames)
-    assert isinstance(found, Refusal)
-    assert found.outcome is Outcome.UNKNOWN
+@pytest.mark.parametrize('frames', TRUNCATED_RESPONSES)
+def test_truncated_response_has_unknown_outcome(
+    frames: list[ResponseFrame],
+) -> None:
+    response = _read_response(frames)
+    assert isinstance(response, Refusal)
+    assert response.outcome is Outcome.UNKNOWN
 
 
-def test_frames_go_to_their_own_exchange() -> None:
+def test_frames_are_delivered_by_request_id() -> None:
     metrics = Metrics()
     in_flight = InFlight(metrics)
-    mine = Exchange(RequestId('mine'), build.dispatch('mine', 'i'))
-    other = Exchange(RequestId('other'), build.dispatch('other', 'i'))
-    for exchange in (mine, other):
+    first = Exchange(RequestId('first'), build.dispatch('first', 'i'))
+    second = Exchange(RequestId('second'), build.dispatch('second', 'i'))
+    for exchange in (first, second):
         in_flight.add(exchange)
-    in_flight.take(ResponseData('other', 0, b'not mine'))
-    in_flight.take(ResponseData('earlier', 0, b'nobody'))
-    assert (mine.received, other.received) == (0, len(b'not mine'))
+    in_flight.deliver(ResponseData('second', 0, b'not mine'))
+    in_flight.deliver(ResponseData('earlier', 0, b'nobody'))
+    assert (first.received, second.received) == (0, len(b'not mine'))
     assert b'amaranthrail_frames_unknown_total 1.0' in metrics_text(metrics)
