--- a/src/amaranthrail/api.py
+++ b/src/amaranthrail/api.py
@@ -1,4 +1,4 @@
-"""Call an entry's administration API; what the command line is made of."""
+"""Call the administration API of entries, for the command line."""
 
 from __future__ import annotations
 
@@ -21,6 +21,7 @@
 from .records import CONTROL_STREAM
 from .timeline import Event, decode_events, merge_events
 
+#: Longest time for an API call or for publishing to the log, in ms.
 CALL_TIMEOUT_MS = 8000
 _HTTP_OK = 200
 _HTTP_ACCEPTED = 202
@@ -29,11 +30,11 @@
 
 
 class ApiError(AmaranthrailError):
-    """Report that no entry gave a usable answer."""
+    """Report that no entry gave a usable response."""
 
 
 class PublishState(Enum):
-    """Say what became of a published manifest."""
+    """State whether a published manifest was accepted."""
 
     ACCEPTED = 'accepted'
     REFUSED = 'refused'
@@ -41,8 +42,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Published:
-    """Hold what became of a published manifest and how to ask again."""
+class PublishReport:
+    """Describe the result of publishing a manifest.
+
+    ``change`` is the id of the change record, by which an operator can look for
+    the result of an unknown publish. ``version`` is the version in force, 0
+    while the result is unknown.
+    """
 
     state: PublishState
     version: int = 0
@@ -59,92 +65,110 @@
 
 
 class AdminApi:
-    """Talk to the entries of a deployment."""
+    """Call the administration APIs of a deployment's entries."""
 
     def __init__(self, entries: tuple[str, ...], token: str) -> None:
-        """Take the entries' administration addresses and the token."""
-        self._clients = [HttpClient(parse_address(one)) for one in entries]
+        """Create a client for each entry's administration address."""
+        self._clients = [
+            HttpClient(parse_address(address)) for address in entries
+        ]
         self._headers = (('authorization', f'Bearer {token}'),)
 
     async def statuses(self) -> list[dict[str, Any]]:
-        """Return the status of every entry; one that is down says so."""
-        found: list[dict[str, Any]] = []
+        """Return the status of every entry.
+
+        An entry that cannot be reached has the keys ``entry`` and ``error``.
+        """
+        statuses: list[dict[str, Any]] = []
         for client in self._clients:
             try:
-                answer = await self._call(client, 'GET', '/v1/status')
-                found.append(msgspec.json.decode(answer.body))
+                response = await self._call(client, 'GET', '/v1/status')
+                statuses.append(msgspec.json.decode(response.body))
             except ApiError as error:
-                found.append(
+                statuses.append(
                     {'entry': str(client.address), 'error': str(error)}
                 )
-        return found
+        return statuses
 
     async def timeline(self) -> list[Event]:
-        """Return the events of all processes, causes first."""
+        """Return the events of all processes, causes before their effects.
+
+        Entries that cannot be reached are left out. Raises ApiError where none
+        can be.
+        """
         sources: list[list[Event]] = []
         for client in self._clients:
             try:
-                answer = await self._call(client, 'GET', '/v1/timeline')
+                response = await self._call(client, 'GET', '/v1/timeline')
             except ApiError:
                 continue
-            sources.append(decode_events(answer.body))
+            sources.append(decode_events(response.body))
         if not sources:
-            raise ApiError('no entry answered')
+            raise ApiError('no entry responded')
         return merge_events(sources)
 
     async def lost(self) -> list[dict[str, Any]]:
-        """Return the lost list."""
-        answer = await self._first('GET', '/v1/lost')
-        found: list[dict[str, Any]] = msgspec.json.decode(answer.body)
-        return found
+        """Return the keyed requests whose outcome is lost. Raises ApiError."""
+        response = await self._call_any('GET', '/v1/lost')
+        lost_keys: list[dict[str, Any]] = msgspec.json.decode(response.body)
+        return lost_keys
 
     async def resolve(self, key: str, outcome: str) -> bool:
-        """Close a lost key; tell whether that is on record."""
+        """Set the outcome of a lost key; return whether it has been recorded.
+
+        Raises ApiError.
+        """
         quoted = quote(key, safe='')
-        order = {'outcome': outcome, 'author': getpass.getuser()}
-        answer = await self._first(
+        resolution = {'outcome': outcome, 'author': getpass.getuser()}
+        response = await self._call_any(
             'POST',
             f'/v1/lost/{quoted}/resolve',
-            msgspec.json.encode(order),
+            msgspec.json.encode(resolution),
         )
-        return answer.status == _HTTP_OK
+        return response.status == _HTTP_OK
 
     async def drain(self, upstream: str, *, draining: bool) -> bool:
-        """Start or end a drain; tell whether it is in force."""
+        """Start or end a drain; return whether it is in force.
+
+        Raises ApiError.
+        """
         order = {
             'upstream': upstream,
             'draining': draining,
             'author': getpass.getuser(),
         }
-        answer = await self._first(
+        response = await self._call_any(
             'POST',
             '/v1/drain',
             msgspec.json.encode(order),
         )
-        return answer.status == _HTTP_OK
+        return response.status == _HTTP_OK
 
     async def manifest(self) -> ManifestText:
-        """Return the manifest in force."""
-        answer = await self._first('GET', '/v1/manifest')
-        version = answer.header('x-manifest-version') or '0'
-        return ManifestText(int(version), answer.body)
+        """Return the manifest in force. Raises ApiError."""
+        response = await self._call_any('GET', '/v1/manifest')
+        version = response.header('x-manifest-version') or '0'
+        return ManifestText(int(version), response.body)
+
+    async def publish(self, text: bytes, base: int | None) -> PublishReport:
+        """Propose a manifest that was edited from version ``base``.
 
-    async def publish(self, text: bytes, base: int | None) -> Published:
-        """Propose a manifest made from ``base``, else from the latest."""
+        Without ``base`` the entry takes the version in force. Raises ApiError.
+        """
         query = {'author': getpass.getuser()}
         if base is not None:
             query['base'] = str(base)
         target = f'/v1/manifest?{urlencode(query)}'
-        answer = await self._first('POST', target, text)
-        told = msgspec.json.decode(answer.body)
-        return Published(
-            PublishState(told['outcome']),
-            told.get('version', 0),
-            told.get('reason', ''),
-            told.get('id', ''),
+        response = await self._call_any('POST', target, text)
+        fields = msgspec.json.decode(response.body)
+        return PublishReport(
+            PublishState(fields['outcome']),
+            fields.get('version', 0),
+            fields.get('reason', ''),
+            fields.get('id', ''),
         )
 
-    async def _first(
+    async def _call_any(
         self,
         method: str,
         target: str,
@@ -167,7 +191,7 @@
     ) -> HttpAnswer:
         try:
             with trio.fail_after(CALL_TIMEOUT_MS / 1000):
-                answer = await client.call(
+                response = await client.call(
                     method,
                     target,
                     self._headers,
@@ -176,14 +200,14 @@
                 )
         except (HttpError, trio.TooSlowError) as error:
             raise ApiError(f'entry {client.address}: {error}') from error
-        told = {_HTTP_OK, _HTTP_ACCEPTED, _HTTP_CONFLICT}
-        publishing = (
+        usable = {_HTTP_OK, _HTTP_ACCEPTED, _HTTP_CONFLICT}
+        invalid_manifest = (
             _HTTP_BAD_REQUEST if target.startswith('/v1/manifest') else 0
         )
-        if answer.status not in told | {publishing}:
-            text = answer.body.decode(errors='replace')
-            raise ApiError(f'entry {client.address}: {answer.status} {text}')
-        return answer
+        if response.status not in usable | {invalid_manifest}:
+            text = response.body.decode(errors='replace')
+            raise ApiError(f'entry {client.address}: {response.status} {text}')
+        return response
 
 
 async def publish_to_log(
@@ -191,28 +215,34 @@
     text: bytes,
     base: int | None,
     timeout_ms: int = CALL_TIMEOUT_MS,
-) -> Published:
-    """Propose a manifest straight to the log, with no entry running."""
+) -> PublishReport:
+    """Publish a manifest by appending to the log, without any entry."""
     log = HttpLog(parse_address(platform))
     configuration = Configuration()
-    follower = StreamConsumer(log, CONTROL_STREAM, configuration.apply)
-    verdict: PublishResult | None = None
+    consumer = StreamConsumer(log, CONTROL_STREAM, configuration.apply)
+    publish_result: PublishResult | None = None
     change = ''
     with move_on_after(timeout_ms):
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(follower.run)
-            await follower.wait_caught_up()
-            made_from = configuration.version if base is None else base
-            record = new_change(made_from, text, getpass.getuser())
+            nursery.start_soon(consumer.run)
+            await consumer.wait_caught_up()
+            base_version = configuration.version if base is None else base
+            record = new_change(base_version, text, getpass.getuser())
             change = record.id
-            verdict = await publish_manifest(
+            publish_result = await publish_manifest(
                 log,
                 configuration,
                 record,
                 timeout_ms,
             )
             nursery.cancel_scope.cancel()
-    if verdict is None:
-        return Published(PublishState.UNKNOWN, change=change)
-    state = PublishState.ACCEPTED if verdict.accepted else PublishState.REFUSED
-    return Published(state, verdict.version, verdict.reason, change)
+    if publish_result is None:
+        return PublishReport(PublishState.UNKNOWN, change=change)
+    state = (
+        PublishState.ACCEPTED
+        if publish_result.accepted
+        else PublishState.REFUSED
+    )
+    return PublishReport(
+        state, publish_result.version, publish_result.reason, change
+    )
--- a/src/amaranthrail/cli.py
+++ b/src/amaranthrail/cli.py
@@ -1,4 +1,4 @@
-"""Parse the ``amaranthrail`` command line and show what the API returns."""
+"""Implement the ``amaranthrail`` command line on the administration API."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from .api import AdminApi, ApiError, Published, PublishState, publish_to_log
+from .api import AdminApi, ApiError, PublishReport, PublishState, publish_to_log
 from .clock import MS_PER_SECOND, stamp_to_wall
 from .exceptions import ManifestError
 from .manifest import Manifest, parse_manifest
@@ -26,9 +26,10 @@
 EXIT_USAGE = 2
 EXIT_REFUSED = 3
 EXIT_UNKNOWN = 4
+#: Width of a table that is not written to a terminal, in characters.
 _PIPE_WIDTH = 160
 
-_Answer = TypeVar('_Answer')
+_Returned = TypeVar('_Returned')
 
 app = typer.Typer(
     name='amaranthrail',
@@ -38,7 +39,9 @@
     pretty_exceptions_enable=False,
 )
 manifest_app = typer.Typer(help='Check and publish manifests.')
-lost_app = typer.Typer(help='See and resolve what was lost.')
+lost_app = typer.Typer(
+    help='List and resolve keyed requests whose outcome is lost.'
+)
 app.add_typer(manifest_app, name='manifest', no_args_is_help=True)
 app.add_typer(lost_app, name='lost', no_args_is_help=True)
 
@@ -64,7 +67,7 @@
 ManifestFile = Annotated[Path, typer.Argument(help='Manifest file, JSON.')]
 Base = Annotated[
     int | None,
-    typer.Option(help='Version that the manifest was made from.'),
+    typer.Option(help='Version that the manifest was edited from.'),
 ]
 _DEFAULT_ADMIN = '127.0.0.1:7070'
 
@@ -73,7 +76,7 @@
     return AdminApi(tuple(admin.split(',')), token)
 
 
-def _run(call: Callable[[], Awaitable[_Answer]]) -> _Answer:
+def _run(call: Callable[[], Awaitable[_Returned]]) -> _Returned:
     try:
         return trio.run(call)
     except* ApiError as group:
@@ -103,7 +106,7 @@
     console.print(table)
 
 
-def _read_manifest(path: Path) -> tuple[bytes, Manifest]:
+def _load_manifest(path: Path) -> tuple[bytes, Manifest]:
     try:
         text = path.read_bytes()
     except OSError as error:
@@ -116,8 +119,8 @@
 
 @manifest_app.command('check')
 def check_manifest(path: ManifestFile) -> None:
-    """Check a manifest; exit 3 with one line a fault."""
-    _, manifest = _read_manifest(path)
+    """Check a manifest; exit 3 with one line per fault."""
+    _, manifest = _load_manifest(path)
     _write(
         f'{path}: {len(manifest.services)} services, '
         f'{len(manifest.organisations)} organisations, valid',
@@ -137,12 +140,12 @@
     as_json: AsJson = False,
 ) -> None:
     """Write the manifest in force."""
-    found = _run(_api(admin, admin_token).manifest)
+    in_force = _run(_api(admin, admin_token).manifest)
     if as_json:
-        _write(found.text.decode())
+        _write(in_force.text.decode())
         return
-    _write(f'version {found.version}')
-    _write(_pretty(found.text))
+    _write(f'version {in_force.version}')
+    _write(_format_manifest(in_force.text))
 
 
 @manifest_app.command('diff')
@@ -152,13 +155,13 @@
     admin_token: Token = '',
 ) -> None:
     """Compare a manifest with the one in force; exit 1 if they differ."""
-    text, _ = _read_manifest(path)
-    found = _run(_api(admin, admin_token).manifest)
+    text, _ = _load_manifest(path)
+    in_force = _run(_api(admin, admin_token).manifest)
     lines = list(
         difflib.unified_diff(
-            _pretty(found.text).splitlines(),
-            _pretty(text).splitlines(),
-            f'version {found.version}',
+            _format_manifest(in_force.text).splitlines(),
+            _format_manifest(text).splitlines(),
+            f'version {in_force.version}',
             str(path),
             lineterm='',
         ),
@@ -177,16 +180,16 @@
         str | None,
         typer.Option(
             envvar='AMARANTHRAIL_PLATFORM',
-            help='Publish straight to the log service at this address.',
+            help='Append to the log service at this address, without an entry.',
         ),
     ] = None,
     base: Base = None,
     as_json: AsJson = False,
 ) -> None:
-    """Publish a manifest: accepted (0), refused (3) or unknown yet (4)."""
-    text, _ = _read_manifest(path)
+    """Publish a manifest; exit 0 if accepted, 3 if refused, 4 if unknown."""
+    text, _ = _load_manifest(path)
 
-    async def publish() -> Published:
+    async def publish() -> PublishReport:
         if log is not None:
             return await publish_to_log(log, text, base)
         return await _api(admin, admin_token).publish(text, base)
@@ -195,7 +198,7 @@
     if as_json:
         _write_json(published)
     else:
-        _write(_tell_published(published))
+        _write(_describe_published(published))
     codes = {
         PublishState.ACCEPTED: 0,
         PublishState.REFUSED: EXIT_REFUSED,
@@ -204,7 +207,7 @@
     raise typer.Exit(codes[published.state])
 
 
-def _tell_published(published: Published) -> str:
+def _describe_published(published: PublishReport) -> str:
     match published.state:
         case PublishState.ACCEPTED:
             return f'accepted as version {published.version}'
@@ -215,8 +218,8 @@
             )
         case PublishState.UNKNOWN:
             return (
-                f'unknown yet: change {published.change} is not in the log; '
-                'ask again with "amaranthrail manifest show", and publish '
+                f'unknown yet: change {published.change} was not seen in the '
+                'log; check with "amaranthrail manifest show", and publish '
                 'again with --base only if the version there is unchanged'
             )
 
@@ -227,29 +230,29 @@
     admin_token: Token = '',
     as_json: AsJson = False,
 ) -> None:
-    """Show entries and upstreams; exit 1 if an entry does not answer."""
-    found = _run(_api(admin, admin_token).statuses)
+    """Show entries and upstreams; exit 1 if an entry does not respond."""
+    statuses = _run(_api(admin, admin_token).statuses)
     if as_json:
-        _write_json(found)
+        _write_json(statuses)
     else:
-        _show_status(found)
-    failed = any('error' in one for one in found)
+        _show_statuses(statuses)
+    failed = any('error' in entry for entry in statuses)
     raise typer.Exit(EXIT_FAILED if failed else 0)
 
 
-def _show_status(found: list[dict[str, Any]]) -> None:
-    for one in found:
-        error = one.get('error')
+def _show_statuses(statuses: list[dict[str, Any]]) -> None:
+    for entry in statuses:
+        error = entry.get('error')
         if error:
-            _write(f'{one["entry"]}: {error}')
+            _write(f'{entry["entry"]}: {error}')
             continue
-        filings = one['filings']
+        keyed_requests = entry['filings']
         _write(
-            f'{one["entry"]}: ready={one["ready"]} '
-            f'manifest={one["manifest_version"]} '
-            f'log={"up" if one["log_reachable"] else "down"} '
-            f'records_skipped={one["records_skipped"]} '
-            f'lost={filings["lost"]} open={filings["open"]}',
+            f'{entry["entry"]}: ready={entry["ready"]} '
+            f'manifest={entry["manifest_version"]} '
+            f'log={"up" if entry["log_reachable"] else "down"} '
+            f'records_skipped={entry["records_skipped"]} '
+            f'lost={keyed_requests["lost"]} open={keyed_requests["open"]}',
         )
         columns = (
             'upstream',
@@ -265,7 +268,7 @@
             columns,
             [
                 [str(upstream[column]) for column in columns]
-                for upstream in one['upstreams']
+                for upstream in entry['upstreams']
             ],
         )
 
@@ -275,7 +278,9 @@
     admin: Admin = _DEFAULT_ADMIN,
     admin_token: Token = '',
     as_json: AsJson = False,
-    last: Annotated[int, typer.Option(help='Show this many events.')] = 200,
+    last: Annotated[
+        int, typer.Option(help='Number of latest events to show.')
+    ] = 200,
 ) -> None:
     """Show the events of all processes, causes before effects."""
     events = _run(_api(admin, admin_token).timeline)[-last:]
@@ -284,7 +289,7 @@
         return
     rows = [
         [
-            wall_time(event.stamp),
+            format_stamp(event.stamp),
             event.process,
             event.name,
             event.subject,
@@ -295,11 +300,11 @@
     _write_table(('time', 'process', 'event', 'subject', 'detail'), rows)
 
 
-def wall_time(stamp: int) -> str:
-    """Return the time of day that a stamp carries, to the millisecond."""
+def format_stamp(stamp: int) -> str:
+    """Return the UTC time of day of a clock stamp, to the millisecond."""
     seconds = stamp_to_wall(stamp) / MS_PER_SECOND
-    moment = datetime.fromtimestamp(seconds, tz=UTC)
-    return moment.strftime('%H:%M:%S.%f')[:-3]
+    utc_time = datetime.fromtimestamp(seconds, tz=UTC)
+    return utc_time.strftime('%H:%M:%S.%f')[:-3]
 
 
 @lost_app.command('list')
@@ -308,24 +313,24 @@
     admin_token: Token = '',
     as_json: AsJson = False,
 ) -> None:
-    """Show keyed requests whose outcome cannot be known."""
-    found = _run(_api(admin, admin_token).lost)
+    """List keyed requests whose outcome cannot be known."""
+    lost_keys = _run(_api(admin, admin_token).lost)
     if as_json:
-        _write_json(found)
+        _write_json(lost_keys)
         return
     columns = ('key', 'operation', 'upstream', 'attempt', 'reason')
-    rows = [[str(one[column]) for column in columns] for one in found]
+    rows = [[str(lost[column]) for column in columns] for lost in lost_keys]
     _write_table(columns, rows)
 
 
 @lost_app.command('resolve')
 def resolve_lost(
-    key: Annotated[str, typer.Argument(help='Key as the list shows it.')],
+    key: Annotated[str, typer.Argument(help='Key as shown by "lost list".')],
     outcome: Annotated[str, typer.Argument(help='ran or not-run')],
     admin: Admin = _DEFAULT_ADMIN,
     admin_token: Token = '',
 ) -> None:
-    """Say what became of a lost key; not-run lets it be tried again."""
+    """Set the outcome of a lost key; not-run lets callers try it again."""
     if outcome not in {'ran', 'not-run'}:
         _fail(f'outcome is {outcome!r}: give ran or not-run', EXIT_USAGE)
 
@@ -344,35 +349,35 @@
     admin: Admin = _DEFAULT_ADMIN,
     admin_token: Token = '',
 ) -> None:
-    """Send no new work to an upstream, or send it work again."""
+    """Stop sending new requests to an upstream, or resume."""
 
-    async def order() -> bool:
+    async def set_drain() -> bool:
         return await _api(admin, admin_token).drain(upstream, draining=not end)
 
-    in_force = _run(order)
+    in_force = _run(set_drain)
     _write(f'{upstream}: {"in force" if in_force else "not in force yet"}')
     raise typer.Exit(0 if in_force else EXIT_UNKNOWN)
 
 
 @app.command('explain')
 def explain(
-    request: Annotated[str, typer.Argument(help='Id of the request.')],
+    request: Annotated[str, typer.Argument(help='Request id.')],
     logs: Annotated[
         list[Path],
         typer.Argument(help='Log files of any processes.', exists=True),
     ],
 ) -> None:
-    """Tell what became of a request, from the logs of the processes."""
+    """Show the log lines that explain what became of a request."""
     lines: list[LogLine] = []
     for path in logs:
         text = path.read_text(errors='replace')
         lines.extend(parse_log_lines(text.splitlines()))
-    story = explain_request(request, lines)
-    if not story:
-        _fail(f'request {request!r} stands in none of the logs', EXIT_USAGE)
-    for line in story:
-        _write(line.shown())
+    explanation = explain_request(request, lines)
+    if not explanation:
+        _fail(f'no log file has a line of request {request!r}', EXIT_USAGE)
+    for line in explanation:
+        _write(line.formatted())
 
 
-def _pretty(text: bytes) -> str:
+def _format_manifest(text: bytes) -> str:
     return json.dumps(json.loads(text), indent=1, sort_keys=True)
--- a/src/amaranthrail/clock.py
+++ b/src/amaranthrail/clock.py
@@ -1,4 +1,4 @@
-"""Tell the time in milliseconds, the one unit of this package."""
+"""Read clocks and wait, in milliseconds, the time unit of this package."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class Clock:
-    """Read monotonic and wall time and order events over processes.
+    """Read monotonic and wall time and stamp events in causal order.
 
-    A stamp is a hybrid logical clock reading: wall milliseconds in the upper
-    bits, a counter in the lower 16. Receiving a stamp moves this clock past
-    it, so an effect never carries a lower stamp than its cause.
+    A stamp is a reading of a hybrid logical clock: wall milliseconds in the
+    upper bits, a counter in the lower 16. Receiving a stamp moves this clock
+    past it, so an effect always has a higher stamp than its cause.
     """
 
     def __init__(
@@ -26,13 +26,13 @@
         monotonic: Callable[[], float] = time.monotonic,
         wall: Callable[[], float] = time.time,
     ) -> None:
-        """Take the two sources, each in seconds."""
+        """Set the time sources, each returning seconds."""
         self._monotonic = monotonic
         self._wall = wall
         self._last_stamp = 0
 
     def now(self) -> Millis:
-        """Return monotonic milliseconds; only differences have a meaning."""
+        """Return monotonic milliseconds; only differences are meaningful."""
         return Millis(self._monotonic() * MS_PER_SECOND)
 
     def wall(self) -> int:
@@ -40,26 +40,26 @@
         return int(self._wall() * MS_PER_SECOND)
 
     def stamp(self) -> int:
-        """Return a stamp above every stamp given or received before."""
-        fresh = self.wall() << _COUNTER_BITS
-        self._last_stamp = max(fresh, self._last_stamp + 1)
+        """Return a stamp above every stamp returned or received before."""
+        wall_stamp = self.wall() << _COUNTER_BITS
+        self._last_stamp = max(wall_stamp, self._last_stamp + 1)
         return self._last_stamp
 
     def receive(self, stamp: int) -> None:
-        """Move past a stamp that another process sent."""
+        """Advance to a stamp that another process sent."""
         self._last_stamp = max(self._last_stamp, stamp)
 
 
 def stamp_to_wall(stamp: int) -> int:
-    """Return the wall milliseconds that a stamp carries."""
+    """Return the milliseconds since the Unix epoch in a stamp."""
     return stamp >> _COUNTER_BITS
 
 
-async def sleep(duration: float) -> None:
-    """Sleep for a number of milliseconds."""
-    await trio.sleep(max(0.0, duration) / MS_PER_SECOND)
+async def sleep(duration_ms: float) -> None:
+    """Sleep; a negative duration counts as 0."""
+    await trio.sleep(max(0.0, duration_ms) / MS_PER_SECOND)
 
 
-def move_on_after(duration: float) -> trio.CancelScope:
-    """Return a scope that is left after a number of milliseconds."""
-    return trio.move_on_after(max(0.0, duration) / MS_PER_SECOND)
+def move_on_after(duration_ms: float) -> trio.CancelScope:
+    """Return a scope that is cancelled after ``duration_ms``."""
+    return trio.move_on_after(max(0.0, duration_ms) / MS_PER_SECOND)
--- a/src/amaranthrail/configpulls.py
+++ b/src/amaranthrail/configpulls.py
@@ -1,34 +1,41 @@
-"""Ask for a newer configuration at one peer, not at all that have it."""
+"""Limit requests for a newer configuration to one peer at a time."""
 
 from __future__ import annotations
 
 from .clock import Clock
 from .configuration import Configuration
 
-#: After this long without the configuration, another peer is asked.
+#: Time after which another peer may be asked for the same versions, in ms.
 PULL_RETRY_MS = 500.0
 
 
 class PullLimiter:
-    """Remember what has been asked for last."""
+    """Track the latest request for a configuration."""
 
     def __init__(self, clock: Clock, configuration: Configuration) -> None:
-        """Take the configuration that is to be kept up to date."""
+        """Initialize with the configuration to compare peers' versions with."""
         self._clock = clock
         self._configuration = configuration
-        self._asked = (0, 0)
-        self._asked_at = clock.now()
+        self._requested = (0, 0)
+        self._requested_at = clock.now()
 
     def should_pull(self, version: int, drains_version: int) -> bool:
-        """Tell whether to ask a peer that has these versions, and note it."""
-        ahead = version > self._configuration.version
-        if not ahead and drains_version <= self._configuration.drains_version:
+        """Return whether to request these versions from the peer that has them.
+
+        True is recorded as a request; the same or lower versions are then not
+        requested again for PULL_RETRY_MS.
+        """
+        is_newer = version > self._configuration.version
+        if (
+            not is_newer
+            and drains_version <= self._configuration.drains_version
+        ):
             return False
         now = self._clock.now()
-        asked = (version, drains_version)
-        recently = now - self._asked_at < PULL_RETRY_MS
-        if recently and asked <= self._asked:
+        versions = (version, drains_version)
+        recently = now - self._requested_at < PULL_RETRY_MS
+        if recently and versions <= self._requested:
             return False
-        self._asked = asked
-        self._asked_at = now
+        self._requested = versions
+        self._requested_at = now
         return True
--- a/src/amaranthrail/configsync.py
+++ b/src/amaranthrail/configsync.py
@@ -1,4 +1,4 @@
-"""Spread the configuration in force between peers."""
+"""Exchange the configuration in force between peers."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from .settings import ProcessSettings
 
 
-def push_frame(configuration: Configuration) -> ManifestPush:
-    """Return the frame that hands over what is in force here."""
+def make_push(configuration: Configuration) -> ManifestPush:
+    """Return a frame with the manifest and drains in force here."""
     in_force = configuration.in_force
     text = b'' if in_force is None else in_force.text
     return ManifestPush(
@@ -27,7 +27,7 @@
 
 
 def heartbeat_without_load(runtime: Runtime) -> Heartbeat:
-    """Return a heartbeat that tells versions and no load."""
+    """Return a heartbeat with the versions in force and no load."""
     configuration = runtime.configuration
     return Heartbeat(
         runtime.clock.stamp(),
@@ -37,26 +37,32 @@
     )
 
 
-def compare_versions(link: Link, runtime: Runtime, heard: Heartbeat) -> None:
-    """Ask for what a peer's heartbeat shows to be newer.
+def pull_if_newer(link: Link, runtime: Runtime, heartbeat: Heartbeat) -> None:
+    """Request the peer's configuration if its heartbeat shows newer versions.
 
-    Nothing is sent unasked: a manifest can be megabytes, and a process hears
-    of a change from all its peers at once but needs it from one.
+    Peers never push without a request: a manifest can be megabytes, and a
+    process learns of a change from all its peers at once but needs it from
+    one.
     """
-    if runtime.pulls.should_pull(heard.manifest_version, heard.drains_version):
+    if runtime.pulls.should_pull(
+        heartbeat.manifest_version, heartbeat.drains_version
+    ):
         link.post(ManifestPull())
 
 
-def take_push(runtime: Runtime, pushed: ManifestPush) -> None:
-    """Adopt what a peer hands over, where it is newer and valid."""
+def apply_push(runtime: Runtime, push: ManifestPush) -> None:
+    """Adopt a peer's configuration where it is newer and valid.
+
+    An invalid manifest is counted in ``manifest_pushes_invalid``.
+    """
     configuration = runtime.configuration
-    before = configuration.version
+    previous_version = configuration.version
     try:
-        configuration.adopt(pushed.version, pushed.manifest, pushed.drains)
+        configuration.adopt(push.version, push.manifest, push.drains)
     except ManifestError:
         runtime.metrics.count('manifest_pushes_invalid')
         return
-    if configuration.version > before:
+    if configuration.version > previous_version:
         runtime.timeline.add(
             'manifest-adopted',
             str(configuration.version),
@@ -68,33 +74,40 @@
     link: Link,
     runtime: Runtime,
     settings: ProcessSettings,
-    take: Callable[[AnyFrame], None],
+    handle_frame: Callable[[AnyFrame], None],
 ) -> None:
-    """Beat without load, and hand on what arrives, until the link ends."""
+    """Send heartbeats without load and handle received frames.
+
+    Runs until the link closes or the peer is silent for ``silence_ms``.
+    """
     async with trio.open_nursery() as nursery:
         nursery.start_soon(link.run_writer)
         nursery.start_soon(link.watch_silence, settings.silence_ms)
-        nursery.start_soon(_beat, link, runtime, settings.heartbeat_ms)
+        nursery.start_soon(
+            _send_heartbeats, link, runtime, settings.heartbeat_ms
+        )
         while True:
-            take(await link.receive())
+            handle_frame(await link.receive())
 
 
-async def _beat(link: Link, runtime: Runtime, interval_ms: float) -> None:
+async def _send_heartbeats(
+    link: Link, runtime: Runtime, interval_ms: float
+) -> None:
     while True:
         link.post(heartbeat_without_load(runtime))
         await sleep(interval_ms)
 
 
 def handle_config_frame(link: Link, runtime: Runtime, frame: AnyFrame) -> bool:
-    """Take a frame that spreads the configuration; tell whether it was one."""
+    """Handle heartbeat, pull and push frames; return False for others."""
     match frame:
         case Heartbeat():
             runtime.clock.receive(frame.stamp)
-            compare_versions(link, runtime, frame)
+            pull_if_newer(link, runtime, frame)
         case ManifestPush():
-            take_push(runtime, frame)
+            apply_push(runtime, frame)
         case ManifestPull():
-            link.post(push_frame(runtime.configuration))
+            link.post(make_push(runtime.configuration))
         case _:
             return False
     return True
--- a/src/amaranthrail/configuration.py
+++ b/src/amaranthrail/configuration.py
@@ -1,4 +1,4 @@
-"""Hold the configuration in force: the highest version, never a lower one."""
+"""Determine the manifest and drains in force; versions only increase."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 )
 from .types import Version
 
-#: Each upstream's latest drain order: its offset and whether it drains.
+#: Latest drain order by upstream: its log offset and whether it drains.
 Drains = Mapping[str, tuple[int, bool]]
 
 
 @dataclass(frozen=True, slots=True)
 class ActiveManifest:
-    """Hold the accepted manifest that is in force here."""
+    """Hold the manifest in force in this process, and its version."""
 
     version: Version
     text: bytes
@@ -35,40 +35,43 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishResult:
-    """Say what version is in force after a change, and why it is not it."""
+    """Hold the result of a manifest change: the version then in force.
+
+    ``reason`` says why the change was refused; it is empty for an accepted one.
+    """
 
     version: Version
     reason: str = ''
 
     @property
     def accepted(self) -> bool:
-        """Tell whether the change came into force."""
+        """Return whether the change came into force."""
         return not self.reason
 
 
 class Configuration:
-    """Decide from the log's order, or a peer's word, what is in force.
+    """Track what is in force, from log records and from peers.
 
-    Two versions are kept apart: the one that follows from the records read
-    here, which judges the next change in the log, and the one in force, which
-    a peer that has read further may have raised.
+    Two versions are kept: the version according to the log records read here,
+    against which the next change in the log is checked, and the version in
+    force, which can be higher when it came from a peer that has read further.
     """
 
     def __init__(self) -> None:
-        """Start with nothing in force."""
+        """Initialize with no manifest and no drains."""
         self._in_force: ActiveManifest | None = None
         self._read_version: Version | None = None
-        self._read_anything = False
+        self._has_read_record = False
         self._drains: dict[str, tuple[int, bool]] = {}
-        self._verdicts: dict[str, PublishResult] = {}
+        self._publish_results: dict[str, PublishResult] = {}
         self._changed = trio.Event()
-        self._skipped = 0
+        self._skipped_records = 0
         self._listeners: list[Callable[[ActiveManifest], None]] = []
-        self._snapshot_at = 0
+        self._last_stored_at = 0
 
     @property
     def in_force(self) -> ActiveManifest | None:
-        """Return what is in force here, if anything is."""
+        """Return the manifest in force, None before the first."""
         return self._in_force
 
     @property
@@ -78,7 +81,7 @@
 
     @property
     def drains(self) -> Drains:
-        """Return the drain orders in force."""
+        """Return the latest drain order of each upstream."""
         return MappingProxyType(self._drains)
 
     @property
@@ -88,28 +91,31 @@
 
     @property
     def skipped_records(self) -> int:
-        """Return how many log records could not be read."""
-        return self._skipped
+        """Return how many log records could not be decoded or applied."""
+        return self._skipped_records
 
     @property
     def last_stored_at(self) -> int:
-        """Return when the log took its youngest copy of what is in force."""
-        return self._snapshot_at
+        """Return when the log stored its newest copy of the manifest in force.
+
+        In milliseconds of the log's clock, 0 if none has been read.
+        """
+        return self._last_stored_at
 
     def on_change(self, listener: Callable[[ActiveManifest], None]) -> None:
-        """Call a function with each configuration that comes into force."""
+        """Call ``listener`` with each manifest that comes into force."""
         self._listeners.append(listener)
 
     def is_draining(self, upstream: str) -> bool:
-        """Tell whether an operator drains an upstream."""
+        """Return whether the latest drain order of an upstream drains it."""
         return self._drains.get(upstream, (0, False))[1]
 
     def publish_result(self, record_id: str) -> PublishResult | None:
-        """Return what became of a change, once it has been read."""
-        return self._verdicts.get(record_id)
+        """Return the result of a change, None until it has been read."""
+        return self._publish_results.get(record_id)
 
     async def wait_changed(self) -> None:
-        """Return after the next record or peer's word has been taken in."""
+        """Return after the next log record or peer update has been applied."""
         await self._changed.wait()
 
     def adopt(
@@ -118,29 +124,33 @@
         text: bytes,
         drains: tuple[tuple[str, int, bool], ...],
     ) -> bool:
-        """Take over from a peer what is newer; tell whether anything was."""
-        newer = self._adopt_drains(drains)
+        """Apply what is newer in a peer's configuration, if anything.
+
+        Returns whether anything was.
+        Raises ManifestError where a newer manifest is invalid.
+        """
+        changed = self._adopt_drains(drains)
         if version > self.version:
             manifest = parse_manifest(text)
             self._put_in_force(ActiveManifest(Version(version), text, manifest))
-            newer = True
-        if newer:
+            changed = True
+        if changed:
             self._notify()
-        return newer
+        return changed
 
-    def apply(self, first: int, entry: LogEntry) -> None:
-        """Take in the next record of the control stream.
+    def apply(self, oldest_offset: int, entry: LogEntry) -> None:
+        """Apply the next record of the control stream.
 
-        ``first`` is the oldest offset that the log still keeps: where it is 1
-        the whole history has been read, so version 0 is known to be in force
-        before the first change.
+        ``oldest_offset`` is the oldest offset that the log still keeps. If it
+        is 1, this process reads the whole history, so version 0 is known to be
+        in force before the first change.
         """
-        if not self._read_anything and first <= 1:
+        if not self._has_read_record and oldest_offset <= 1:
             self._read_version = Version(0)
-        self._read_anything = True
+        self._has_read_record = True
         record = decode_record(entry.text)
         if record is None:
-            self._skipped += 1
+            self._skipped_records += 1
         else:
             self._apply_record(entry, record)
         self._notify()
@@ -162,26 +172,28 @@
                 order = (record.upstream, int(entry.offset), record.draining)
                 self._adopt_drains((order,))
             case _:
-                self._skipped += 1
+                self._skipped_records += 1
 
     def _apply_change(self, entry: LogEntry, record: ManifestChange) -> None:
-        if record.id in self._verdicts or self._read_version is None:
+        if record.id in self._publish_results or self._read_version is None:
             return
         current = self._read_version
         if record.base != current:
-            reason = f'made from version {record.base}, {current} is in force'
-            self._verdicts[record.id] = PublishResult(current, reason)
+            reason = f'based on version {record.base}, {current} is in force'
+            self._publish_results[record.id] = PublishResult(current, reason)
             return
         text = bytes(record.manifest)
         try:
             manifest = parse_manifest(text)
         except ManifestError as error:
-            self._verdicts[record.id] = PublishResult(current, str(error))
+            self._publish_results[record.id] = PublishResult(
+                current, str(error)
+            )
             return
         version = Version(entry.offset)
         self._read_version = version
-        self._verdicts[record.id] = PublishResult(version)
-        self._take_read(version, text, manifest, entry)
+        self._publish_results[record.id] = PublishResult(version)
+        self._apply_read_manifest(version, text, manifest, entry)
 
     def _apply_snapshot(
         self,
@@ -189,7 +201,7 @@
         record: ManifestSnapshot,
     ) -> None:
         if not 0 < record.version < entry.offset:
-            self._skipped += 1
+            self._skipped_records += 1
             return
         self._adopt_drains(record.drains)
         if record.version < (self._read_version or 0):
@@ -198,12 +210,12 @@
         try:
             manifest = parse_manifest(text)
         except ManifestError:
-            self._skipped += 1
+            self._skipped_records += 1
             return
         self._read_version = Version(record.version)
-        self._take_read(self._read_version, text, manifest, entry)
+        self._apply_read_manifest(self._read_version, text, manifest, entry)
 
-    def _take_read(
+    def _apply_read_manifest(
         self,
         version: Version,
         text: bytes,
@@ -211,14 +223,14 @@
         entry: LogEntry,
     ) -> None:
         if version >= self.version:
-            self._snapshot_at = entry.appended_at
+            self._last_stored_at = entry.appended_at
         if version > self.version:
             self._put_in_force(ActiveManifest(version, text, manifest))
 
-    def _put_in_force(self, fresh: ActiveManifest) -> None:
-        self._in_force = fresh
+    def _put_in_force(self, in_force: ActiveManifest) -> None:
+        self._in_force = in_force
         for listener in self._listeners:
-            listener(fresh)
+            listener(in_force)
 
     def _adopt_drains(
         self,
--- a/src/amaranthrail/consumer.py
+++ b/src/amaranthrail/consumer.py
@@ -1,4 +1,4 @@
-"""Follow a stream of the log in order, through its outages."""
+"""Consume a stream of the log in order, retrying while it is unavailable."""
 
 from __future__ import annotations
 
@@ -11,13 +11,15 @@
 from .exceptions import LogUnavailableError
 from .ports import LogBatch, LogEntry, LogPort
 
+#: Longest wait of one long poll, in ms.
 POLL_WAIT_MS = 2000
+#: Bounds of the delay before a failed read is retried, in ms.
 _BACKOFF_MS = 100
 _MAX_BACKOFF_MS = 800
 
 
 class StreamConsumer:
-    """Read one stream by long poll and hand on each record once."""
+    """Read one stream by long polling and apply each record once."""
 
     def __init__(
         self,
@@ -25,29 +27,32 @@
         stream: str,
         apply: Callable[[int, LogEntry], None],
     ) -> None:
-        """Take the log, the stream's name and who takes in the records."""
+        """Initialize at the start of a stream.
+
+        ``apply`` gets the log's oldest kept offset and each record in turn.
+        """
         self._log = log
         self._stream = stream
         self._apply = apply
         self._position = 0
         self._reachable = False
         self._caught_up = trio.Event()
-        self._first = 1
+        self._oldest_offset = 1
         self._retention_ms = 0
 
     @property
     def reachable(self) -> bool:
-        """Tell whether the latest read succeeded."""
+        """Return whether the latest read succeeded."""
         return self._reachable
 
     @property
     def oldest_offset(self) -> int:
-        """Return the oldest offset that the log still keeps."""
-        return self._first
+        """Return the oldest offset that the log keeps, 1 before a read."""
+        return self._oldest_offset
 
     @property
     def retention_ms(self) -> int:
-        """Return for how long the log keeps a record."""
+        """Return how long the log keeps a record, in ms; 0 before a read."""
         return self._retention_ms
 
     async def wait_caught_up(self) -> None:
@@ -55,7 +60,7 @@
         await self._caught_up.wait()
 
     async def run(self) -> None:
-        """Follow the stream for good."""
+        """Read the stream until cancelled, with backoff after a failed read."""
         backoff = _BACKOFF_MS
         while True:
             try:
@@ -68,19 +73,22 @@
                 backoff = _BACKOFF_MS
 
     async def read_once(self, wait_ms: int) -> None:
-        """Read and take in what there is. Raises LogUnavailableError."""
+        """Read and apply one batch of records. Raises LogUnavailableError.
+
+        Waits up to ``wait_ms`` for a record once the stream's end was reached.
+        """
         wait = wait_ms if self._caught_up.is_set() else 0
         batch = await self._log.read(self._stream, self._position, wait)
         self._reachable = True
-        self._take(batch)
+        self._apply_batch(batch)
         if not batch.records:
             self._caught_up.set()
 
-    def _take(self, batch: LogBatch) -> None:
-        self._first = int(batch.first)
+    def _apply_batch(self, batch: LogBatch) -> None:
+        self._oldest_offset = int(batch.first)
         self._retention_ms = batch.retention_ms
         for entry in batch.records:
-            # A lagging reader of the platform may hand out old records.
+            # A lagging reader on the log service's side may return old records.
             if entry.offset > self._position:
                 self._position = int(entry.offset)
-                self._apply(self._first, entry)
+                self._apply(self._oldest_offset, entry)
--- a/src/amaranthrail/daemon.py
+++ b/src/amaranthrail/daemon.py
@@ -1,4 +1,4 @@
-"""Start ``amaranthraild``: parse flags and environment, run the process."""
+"""Implement ``amaranthraild``: read the settings and run one process."""
 
 from __future__ import annotations
 
@@ -44,18 +44,18 @@
 
 def add_process_command(
     name: str,
-    text: str,
-    kind: type[ProcessSettings],
-    make: Callable[[Any], _Process],
+    help_text: str,
+    settings_class: type[ProcessSettings],
+    create_process: Callable[[Any], _Process],
 ) -> None:
     """Add the command that runs a kind of process.
 
-    Each field of its settings becomes a flag and an environment variable, so
-    the settings module is the one place that names them.
+    Each field of its settings class becomes a flag and an environment
+    variable, so both are defined in the settings module alone.
     """
 
-    def command(**given: str | None) -> None:
-        _start(kind, given, make)
+    def command(**flags: str | None) -> None:
+        _start(settings_class, flags, create_process)
 
     parameters = [
         inspect.Parameter(
@@ -64,41 +64,41 @@
             default=None,
             annotation=_option(setting.name, setting.text),
         )
-        for setting in describe_settings(kind)
+        for setting in describe_settings(settings_class)
     ]
     signature = inspect.Signature(parameters)
-    # typer reads the flags from the signature.
+    # typer derives the flags from the signature and annotations.
     command.__dict__.update(__signature__=signature)
     command.__annotations__ = {
         parameter.name: parameter.annotation for parameter in parameters
     }
-    app.command(name, help=text)(command)
+    app.command(name, help=help_text)(command)
 
 
-def _option(name: str, text: str) -> Any:
+def _option(name: str, help_text: str) -> Any:
     flag = name.replace('_', '-')
     option = typer.Option(
         f'--{flag}',
         envvar=f'{ENVIRONMENT_PREFIX}{name.upper()}',
-        help=text,
+        help=help_text,
         show_default=False,
     )
     return Annotated[str | None, option]
 
 
 def _start(
-    kind: type[ProcessSettings],
-    given: dict[str, str | None],
-    make: Callable[[Any], _Process],
+    settings_class: type[ProcessSettings],
+    flags: dict[str, str | None],
+    create_process: Callable[[Any], _Process],
 ) -> None:
     try:
-        settings = load_settings(kind, given)
+        settings = load_settings(settings_class, flags)
         configure_logs(
             settings.log_format,
             settings.log_level,
             process=settings.name,
         )
-        trio.run(partial(_run, make(settings)))
+        trio.run(partial(_run, create_process(settings)))
     except* SettingError as group:
         sys.stderr.write(f'amaranthraild: {group.exceptions[0]}\n')
         sys.exit(EXIT_SETTING)
@@ -119,13 +119,13 @@
 
 add_process_command(
     'entry',
-    'Serve callers on an entry host.',
+    'Run a gateway process that accepts requests of callers.',
     EntrySettings,
     Entry,
 )
 add_process_command(
     'sidecar',
-    'Guard one upstream from the slot on its host.',
+    'Run beside one upstream: queue its requests and forward them.',
     SidecarSettings,
     Sidecar,
 )
--- a/src/amaranthrail/exceptions.py
+++ b/src/amaranthrail/exceptions.py
@@ -1,45 +1,45 @@
-"""Define the errors of this package; each message names the mend."""
+"""Define the errors of this package; messages say how to fix the cause."""
 
 from __future__ import annotations
 
 
 class AmaranthrailError(Exception):
-    """Be the base of all errors that this package raises on purpose."""
+    """Serve as the base class of all errors that this package defines."""
 
 
 class SettingError(AmaranthrailError):
-    """Report a setting that cannot be used."""
+    """Signal a setting with an invalid value."""
 
-    def __init__(self, setting: str, given: object, mend: str) -> None:
-        """Name the setting, what was given and what would do."""
-        super().__init__(f'setting {setting} is {given!r}: {mend}')
+    def __init__(self, setting: str, actual: object, hint: str) -> None:
+        """Build the message; ``hint`` says which values are valid."""
+        super().__init__(f'setting {setting} is {actual!r}: {hint}')
 
 
 class ManifestError(AmaranthrailError):
-    """Report a manifest that cannot be accepted, one line a fault."""
+    """Signal an invalid manifest; the message has one line per fault."""
 
 
 class InvariantError(AmaranthrailError):
-    """Report a broken invariant; the process stops."""
+    """Signal a violated invariant; the process stops."""
 
 
 class FrameError(AmaranthrailError):
-    """Report bytes on a peer connection that are no valid frame."""
+    """Signal bytes from a peer that are not a valid frame, order or reply."""
 
 
 class HttpError(AmaranthrailError):
-    """Report an HTTP exchange that broke.
+    """Signal a failed HTTP exchange.
 
-    ``sent`` tells whether the other side may have seen the request, and
-    ``pooled`` whether the connection had served another before.
+    ``sent`` is true if the server may have read the request. ``pooled`` is true
+    if the connection was reused after an earlier exchange.
     """
 
     def __init__(self, message: str, *, sent: bool) -> None:
-        """Keep the message and whether any byte may have been read."""
+        """Set the message and whether any byte may have been read."""
         super().__init__(message)
         self.sent = sent
         self.pooled = False
 
 
 class LogUnavailableError(AmaranthrailError):
-    """Report that the log did not answer; an append may have happened."""
+    """Signal that the log did not respond; a record may have been appended."""
--- a/src/amaranthrail/exposition.py
+++ b/src/amaranthrail/exposition.py
@@ -1,7 +1,7 @@
-"""Write metrics as Prometheus text.
+"""Format metrics as Prometheus text.
 
-Only a scrape needs this module: its library takes a fifth of the time in which
-a process starts, so it is imported with the first one.
+Importing prometheus_client takes a fifth of a process's start time, so this
+module is imported at the first scrape.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
         self._metrics = metrics
 
     def collect(self) -> Iterator[Metric]:
-        for name, counts in self._metrics.counters.items():
+        for name, totals in self._metrics.counters.items():
             counter = _metric(name, 'counter')
-            for labels, total in counts.items():
-                sample = f'{_PREFIX}{name}_total'
-                counter.add_sample(sample, dict(labels), total)
+            for labels, total in totals.items():
+                sample_name = f'{_PREFIX}{name}_total'
+                counter.add_sample(sample_name, dict(labels), total)
             yield counter
         for name, reading in self._metrics.gauges.items():
             gauge = _metric(name, 'gauge')
@@ -40,11 +40,11 @@
 
 
 def metrics_text(metrics: Metrics) -> bytes:
-    """Return all metrics in Prometheus text format."""
+    """Return all metrics of a process in the Prometheus text format."""
     registry = CollectorRegistry()
     registry.register(_MetricsCollector(metrics))
     return generate_latest(registry)
 
 
-def _metric(name: str, kind: str) -> Metric:
-    return Metric(_PREFIX + name, name.replace('_', ' '), kind)
+def _metric(name: str, metric_type: str) -> Metric:
+    return Metric(_PREFIX + name, name.replace('_', ' '), metric_type)
--- a/src/amaranthrail/frames.py
+++ b/src/amaranthrail/frames.py
@@ -1,7 +1,8 @@
 """Define the frames that entries and sidecars exchange, and their codec.
 
-A frame is one msgpack array: its tag, then its fields in order. Frames of
-unknown shape end the connection.
+A frame is one msgpack array: its tag, then its fields in order. A connection
+is closed when it carries anything else. ``stamp`` is always the sender's
+hybrid logical clock (see clock.Clock), ``request`` a request id.
 """
 
 from __future__ import annotations
@@ -14,21 +15,27 @@
 
 from .exceptions import FrameError
 
+#: Largest frame that a decoder accepts, in bytes.
 MAX_FRAME_BYTES = 4 * 1024 * 1024
 
 
 class Frame(msgspec.Struct, array_like=True, frozen=True):
-    """Be the base of all frames."""
+    """Serve as the base class of all frames."""
 
 
 class Challenge(Frame, frozen=True, tag='challenge'):
-    """Open a connection: the listening side asks for proof of the key."""
+    """Open a connection: the listening side sends a nonce to sign."""
 
     nonce: bytes
 
 
 class Hello(Frame, frozen=True, tag='hello'):
-    """Prove the peer key and say who connects."""
+    """Authenticate and identify the connecting side.
+
+    ``proof`` shows knowledge of the peer key; ``nonce`` is for the listening
+    side to sign. ``connection`` increases with each connection that a process
+    opens, so that a newer one replaces an older one.
+    """
 
     proof: bytes
     nonce: bytes
@@ -38,7 +45,7 @@
 
 
 class Welcome(Frame, frozen=True, tag='welcome'):
-    """Prove the peer key in turn and say who listens."""
+    """Authenticate and identify the listening side."""
 
     proof: bytes
     process: str
@@ -49,11 +56,11 @@
 
 
 class Heartbeat(Frame, frozen=True, tag='heartbeat'):
-    """Tell liveness, the manifest version in force and, of a sidecar, load.
+    """Report liveness, the versions in force and, from a sidecar, load.
 
-    ``clock`` is the sender's monotonic milliseconds. Short and long work,
-    queued and running, are given as their number and their expected time
-    left in a slot, in milliseconds.
+    ``clock`` is the sender's monotonic clock in milliseconds. Short and long
+    requests, both queued and running, are reported as their number and their
+    expected remaining time in a slot, in milliseconds.
     """
 
     stamp: int
@@ -71,11 +78,12 @@
 
 
 class Dispatch(Frame, frozen=True, tag='dispatch'):
-    """Hand one request to the sidecar of its upstream.
+    """Send one request to the sidecar of its upstream.
 
-    ``clock`` is the sidecar's own clock of its latest heartbeat; ``left_ms``
-    the time to the caller's deadline. ``intent`` names the attempt of work that
-    must not repeat; it is empty for idempotent work.
+    ``incarnation`` is the one that the sidecar must have. ``clock`` is the
+    sidecar's clock as of its latest heartbeat; ``left_ms`` the time left until
+    the caller's deadline. ``intent`` is the id of the attempt of a
+    non-idempotent request; it is empty for an idempotent one.
     """
 
     request: str
@@ -95,7 +103,7 @@
 
 
 class ResponseHead(Frame, frozen=True, tag='head'):
-    """Begin an answer."""
+    """Start a response with its status and headers."""
 
     request: str
     stamp: int
@@ -104,7 +112,7 @@
 
 
 class ResponseData(Frame, frozen=True, tag='part'):
-    """Carry bytes of an answer's body from ``offset`` on."""
+    """Carry bytes of a response body, starting at ``offset``."""
 
     request: str
     offset: int
@@ -112,7 +120,7 @@
 
 
 class ResponseEnd(Frame, frozen=True, tag='end'):
-    """Complete an answer: its length and xxh3-64 digest."""
+    """End a response with the length and xxh3-64 digest of its body."""
 
     request: str
     stamp: int
@@ -121,7 +129,7 @@
 
 
 class Refused(Frame, frozen=True, tag='refused'):
-    """Say that a request did not run and, under this id, never will."""
+    """Report that a request did not run and never will under this id."""
 
     request: str
     stamp: int
@@ -131,7 +139,7 @@
 
 
 class Failed(Frame, frozen=True, tag='broken'):
-    """Say that a request started and its whole answer cannot be had."""
+    """Report that a request started but no complete response is available."""
 
     request: str
     stamp: int
@@ -140,7 +148,7 @@
 
 
 class Ack(Frame, frozen=True, tag='ack'):
-    """Report the bytes received, which opens the sender's window."""
+    """Acknowledge received body bytes, which opens the sender's window."""
 
     request: str
     received: int
@@ -148,7 +156,7 @@
 
 
 class Resume(Frame, frozen=True, tag='resume'):
-    """Ask, on a new connection, for an answer from ``received`` on."""
+    """Resume a response on a new connection after ``received`` body bytes."""
 
     request: str
     received: int
@@ -156,13 +164,13 @@
 
 
 class Cancel(Frame, frozen=True, tag='cancel'):
-    """Stop idempotent work whose caller has gone."""
+    """Cancel an idempotent request whose caller has disconnected."""
 
     request: str
 
 
 class AttemptQuery(Frame, frozen=True, tag='inquire'):
-    """Ask what became of an attempt; one not started is voided for good."""
+    """Request the outcome of an attempt; one not started is voided for good."""
 
     request: str
     incarnation: str
@@ -171,18 +179,24 @@
 
 
 class KeyQuery(Frame, frozen=True, tag='key?'):
-    """Ask what became of a key, voiding nothing; for when the log is down."""
+    """Request the outcome of an idempotency key without voiding any attempt.
+
+    Used while the log is unavailable.
+    """
 
     request: str
     key: str
 
 
 class ManifestPull(Frame, frozen=True, tag='pull'):
-    """Ask the peer for the configuration that it holds."""
+    """Request the peer's configuration."""
 
 
 class ManifestPush(Frame, frozen=True, tag='push'):
-    """Hand over the configuration in force, its version and the drains."""
+    """Send the manifest in force, its version and the drain orders.
+
+    Each drain order is the upstream, the log offset and whether it drains.
+    """
 
     version: int
     manifest: bytes
@@ -190,28 +204,28 @@
 
 
 class EventsRequest(Frame, frozen=True, tag='events?'):
-    """Ask for the time line of the peer after a sequence number."""
+    """Request the peer's timeline events above sequence number ``after``."""
 
     request: str
     after: int
 
 
 class EventsResponse(Frame, frozen=True, tag='events'):
-    """Hand over events as JSON lines."""
+    """Send timeline events as a JSON list."""
 
     request: str
     payload: bytes
 
 
 class GroupOrder(Frame, frozen=True, tag='order'):
-    """Carry an order about the expert map to a rank (see orders)."""
+    """Carry an encoded order about the expert map to a rank (see orders)."""
 
     request: str
     payload: bytes
 
 
 class GroupReply(Frame, frozen=True, tag='reply'):
-    """Carry a rank's reply to an order."""
+    """Carry a rank's encoded reply to an order (see orders)."""
 
     request: str
     payload: bytes
@@ -241,7 +255,7 @@
     | GroupReply
 )
 
-#: What the two decoders raise on bytes that are no frame.
+#: Errors that msgpack and msgspec raise on bytes that are not a frame.
 _MALFORMED = (
     msgpack.UnpackException,
     msgspec.ValidationError,
@@ -251,43 +265,47 @@
     RecursionError,
 )
 
-#: Converting to one class is fast; a union of all is built anew each time.
-_BY_TAG = MappingProxyType(
-    {kind.__struct_config__.tag: kind for kind in typing.get_args(AnyFrame)},
+#: Class by tag. Converting to one class is fast, whereas msgspec builds the
+#: union of all anew at each conversion.
+_CLASS_BY_TAG = MappingProxyType(
+    {
+        frame_class.__struct_config__.tag: frame_class
+        for frame_class in typing.get_args(AnyFrame)
+    },
 )
 
 _encoder = msgspec.msgpack.Encoder()
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """Return the bytes of a frame."""
+    """Return a frame in msgpack."""
     return _encoder.encode(frame)
 
 
 class FrameDecoder:
-    """Turn a byte stream into frames."""
+    """Decode frames from a byte stream."""
 
     def __init__(self, max_bytes: int = MAX_FRAME_BYTES) -> None:
-        """Take the largest frame that is accepted, in bytes."""
+        """Initialize; a frame above ``max_bytes`` is refused."""
         self._unpacker = msgpack.Unpacker(max_buffer_size=max_bytes)
 
     def feed(self, received: bytes) -> list[AnyFrame]:
         """Return the frames that these bytes complete.
 
-        Raises FrameError where the bytes are no frame or a frame is larger
-        than the bound; the connection cannot go on then.
+        Raises FrameError if the bytes are not a frame or a frame is too large;
+        the connection has to be closed then.
         """
         try:
             self._unpacker.feed(received)
-            return [_typed(raw) for raw in self._unpacker]
+            return [_convert_frame(raw) for raw in self._unpacker]
         except _MALFORMED as error:
-            raise FrameError(f'no valid frame: {error}') from error
+            raise FrameError(f'invalid frame: {error}') from error
 
 
-def _typed(raw: list[object]) -> AnyFrame:
-    """Return the frame that an unpacked array stands for."""
-    kind = _BY_TAG.get(raw[0])
-    if kind is None:
-        raise ValueError(f'no frame has tag {raw[0]!r:.40}')
-    frame: AnyFrame = msgspec.convert(raw, kind)
+def _convert_frame(raw: list[object]) -> AnyFrame:
+    """Return the frame of an unpacked array; raise a _MALFORMED error."""
+    frame_class = _CLASS_BY_TAG.get(raw[0])
+    if frame_class is None:
+        raise ValueError(f'unknown frame tag {raw[0]!r:.40}')
+    frame: AnyFrame = msgspec.convert(raw, frame_class)
     return frame
--- a/src/amaranthrail/requestlog.py
+++ b/src/amaranthrail/requestlog.py
@@ -34,7 +34,7 @@
     event: str
     fields: dict[str, Any]
 
-    def shown(self) -> str:
+    def formatted(self) -> str:
         """Return the line as a person reads it."""
         rest = ' '.join(
             f'{name}={given}'
--- a/tests/test_requestlog.py
+++ b/tests/test_requestlog.py
@@ -32,7 +32,7 @@
         ('e1', 'call: sent again'),
         ('e1', 'call: answered'),
     ]
-    assert 'cause=cut' in story[1].shown()
+    assert 'cause=cut' in story[1].formatted()
 
 
 def test_an_unknown_request_has_no_story() -> None:
