--- a/src/amaranthrail/configpulls.py
+++ b/src/amaranthrail/configpulls.py
@@ -16,8 +16,8 @@
         """Initialize with the configuration to compare peers' versions with."""
         self._clock = clock
         self._configuration = configuration
-        self._requested = (0, 0)
-        self._requested_at = clock.now()
+        self._asked = (0, 0)
+        self._asked_at = clock.now()
 
     def should_pull(self, version: int, drains_version: int) -> bool:
         """Return whether to request these versions from the peer that has them.
@@ -25,17 +25,14 @@
         True is recorded as a request; the same or lower versions are then not
         requested again for PULL_RETRY_MS.
         """
-        is_newer = version > self._configuration.version
-        if (
-            not is_newer
-            and drains_version <= self._configuration.drains_version
-        ):
+        ahead = version > self._configuration.version
+        if not ahead and drains_version <= self._configuration.drains_version:
             return False
         now = self._clock.now()
-        versions = (version, drains_version)
-        recently = now - self._requested_at < PULL_RETRY_MS
-        if recently and versions <= self._requested:
+        asked = (version, drains_version)
+        recently = now - self._asked_at < PULL_RETRY_MS
+        if recently and asked <= self._asked:
             return False
-        self._requested = versions
-        self._requested_at = now
+        self._asked = asked
+        self._asked_at = now
         return True
--- a/src/amaranthrail/logs.py
+++ b/src/amaranthrail/logs.py
@@ -1,4 +1,4 @@
-"""Configure structured logs: short sentences, a fixed prefix for each part."""
+"""Configure structured logs whose events have a prefix for each part."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 from .clock import sleep
 
-#: Bytes of log lines that wait for a slow reader.
+#: Largest amount of log lines that waits for a slow reader, in bytes.
 _MAX_PENDING_BYTES = 262_144
-#: Time between two writes of log lines, in ms.
+#: Interval between writes of log lines, in ms.
 _FLUSH_INTERVAL_MS = 100.0
 
 
 class LogFormat(Enum):
-    """Choose how a log line is written."""
+    """Select the format of log lines."""
 
     JSON = 'json'
     CONSOLE = 'console'
 
 
 class LogLevel(Enum):
-    """Choose the least severe line that is written."""
+    """Select the lowest severity that is logged."""
 
     DEBUG = 'debug'
     INFO = 'info'
@@ -38,21 +38,21 @@
 
 
 class BoundedWriter:
-    """Write lines to a descriptor without ever waiting for it.
+    """Write lines to a file descriptor without blocking.
 
-    Lines gather in memory up to a bound; beyond it they are dropped, and a
-    line says how many were.
+    Lines are buffered in memory up to a bound. Further lines are dropped, and
+    their number is logged.
     """
 
     def __init__(self, descriptor: int) -> None:
-        """Take the open descriptor, which is made non-blocking."""
+        """Make the open descriptor non-blocking."""
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
         self._pending = bytearray()
         self._dropped = 0
 
     def write(self, text: str) -> int:
-        """Queue text; print calls this as a file's method."""
+        """Buffer or drop text and return its length, as a file object does."""
         encoded = text.encode()
         if len(self._pending) + len(encoded) > _MAX_PENDING_BYTES:
             self._dropped += text.count('\n')
@@ -61,25 +61,25 @@
         return len(text)
 
     def flush(self) -> None:
-        """Do nothing; the writer's task sends what is queued."""
+        """Do nothing; ``run`` writes the buffer."""
 
     async def run(self) -> None:
-        """Send queued lines for good."""
+        """Write the buffer at a fixed interval until cancelled."""
         while True:
             await sleep(_FLUSH_INTERVAL_MS)
             self.flush_now()
 
     def flush_now(self) -> None:
-        """Send as much as the descriptor takes now."""
+        """Write as much of the buffer as the descriptor accepts."""
         try:
             while self._pending:
                 sent = os.write(self._descriptor, self._pending)
                 del self._pending[:sent]
         except BlockingIOError:
-            # The reader is slow; what is queued goes with a later flush.
+            # The reader is slow; the rest is written by a later flush.
             return
         except OSError:
-            # The reader has gone, and there is nobody to tell.
+            # The reader has closed its end, so nothing can be logged.
             self._pending.clear()
             return
         if self._dropped:
@@ -92,11 +92,11 @@
     log_format: LogFormat,
     level: LogLevel,
     output: Any = None,
-    **fixed: str,
+    **common_fields: str,
 ) -> None:
-    """Write log lines to ``output`` (standard error unless given).
+    """Write log lines to ``output``, by default standard error.
 
-    Each line has the ``fixed`` fields.
+    Each line has the ``common_fields``.
     """
     renderer: Any = structlog.processors.JSONRenderer()
     if log_format is LogFormat.CONSOLE:
@@ -115,11 +115,11 @@
         logger_factory=structlog.PrintLoggerFactory(output or sys.stderr),
     )
     structlog.contextvars.clear_contextvars()
-    structlog.contextvars.bind_contextvars(**fixed)
+    structlog.contextvars.bind_contextvars(**common_fields)
 
 
 def part_logger(part: str) -> Logger:
-    """Return the logger of one part; its lines begin with ``part:``."""
+    """Return the logger of one part, which prefixes events with ``part:``."""
     logger: Logger = structlog.get_logger(part=part)
     return logger
 
--- a/src/amaranthrail/manifest.py
+++ b/src/amaranthrail/manifest.py
@@ -1,4 +1,4 @@
-"""Define the manifest, its checks and its JSON Schema."""
+"""Define the manifest and its validation; it yields the JSON Schema."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class PickPolicy(Enum):
-    """Choose how an entry picks a replica."""
+    """Select how an entry balances requests over replicas."""
 
     AFFINITY = 'affinity'
     TWO_CHOICES = 'two_choices'
@@ -32,46 +32,46 @@
 
 
 class QueuePolicy(Enum):
-    """Choose how a sidecar orders waiting work."""
+    """Select how a sidecar orders queued requests."""
 
     SHORT_FIRST = 'short_first'
     FIFO = 'fifo'
 
 
 class AdmissionPolicy(Enum):
-    """Choose how an entry admits work."""
+    """Select how an entry admits requests."""
 
     DEADLINE = 'deadline'
     ACCEPT_ALL = 'accept_all'
 
 
 class SizeClass(Enum):
-    """Say how long an operation takes."""
+    """Classify an operation's requests as short, long, or by token count."""
 
     SHORT = 'short'
     LONG = 'long'
     BY_TOKENS = 'by_tokens'
 
 
-class _Strict(BaseModel):
+class _StrictModel(BaseModel):
     model_config = ConfigDict(extra='forbid', frozen=True)
 
 
-class FailureDomain(_Strict):
-    """Name a failure domain and the region that it lies in."""
+class FailureDomain(_StrictModel):
+    """Name a failure domain and its region."""
 
     name: Name
     region: Name
 
 
-class OrganisationLimits(_Strict):
-    """Bound what one organisation may have in progress."""
+class OrganisationLimits(_StrictModel):
+    """Limit the concurrent requests of one organisation."""
 
     concurrent: int = Field(default=1024, ge=1, le=1_000_000)
 
 
-class Organisation(_Strict):
-    """Name an organisation, its credentials' hashes and its share."""
+class Organisation(_StrictModel):
+    """Define an organisation by credential hashes, weight and limits."""
 
     name: Name
     credentials: tuple[Credential, ...] = Field(min_length=1)
@@ -79,8 +79,8 @@
     limits: OrganisationLimits = OrganisationLimits()
 
 
-class Operation(_Strict):
-    """Describe one kind of call; ``{name}`` matches one path segment."""
+class Operation(_StrictModel):
+    """Describe one kind of call; ``{name}`` in a path matches one segment."""
 
     name: Name
     method: Literal['GET', 'HEAD', 'POST', 'PUT', 'PATCH', 'DELETE']
@@ -91,7 +91,7 @@
     cost_ms: float = Field(default=20, gt=0, le=3_600_000)
 
 
-class Policies(_Strict):
+class Policies(_StrictModel):
     """Select the policies of a service."""
 
     pick: PickPolicy = PickPolicy.TWO_CHOICES
@@ -102,8 +102,8 @@
     token_ms: float = Field(default=20, gt=0, le=10_000)
 
 
-class Service(_Strict):
-    """Describe the replicas behind one name."""
+class Service(_StrictModel):
+    """Describe a service, which is a set of equivalent replicas."""
 
     name: Name
     kind: Literal['model', 'plain']
@@ -115,7 +115,7 @@
     policies: Policies = Policies()
 
     @model_validator(mode='after')
-    def _has_route(self) -> Service:
+    def _check_route(self) -> Service:
         if self.kind == 'model' and not self.models:
             raise ValueError('a model service lists at least one model')
         if self.kind == 'plain' and self.path_prefix is None:
@@ -123,8 +123,8 @@
         return self
 
 
-class Group(_Strict):
-    """Describe ranks that run in lock-step on one expert map."""
+class Group(_StrictModel):
+    """Describe ranks that execute steps together with one expert map."""
 
     name: Name
     service: Name
@@ -133,14 +133,14 @@
     fencing: bool = True
 
 
-class Limits(_Strict):
-    """Bound what the whole deployment spends on retries and bodies."""
+class Limits(_StrictModel):
+    """Limit the share of retries and the size of bodies."""
 
     retry_share: float = Field(default=0.1, ge=0, le=1)
     max_body_bytes: int = Field(default=1_048_576, ge=1, le=2_097_152)
 
 
-class Manifest(_Strict):
+class Manifest(_StrictModel):
     """Describe a whole deployment."""
 
     format: Literal[1]
@@ -152,27 +152,27 @@
     limits: Limits = Limits()
 
     @model_validator(mode='after')
-    def _names_are_unique(self) -> Manifest:
-        _reject_repeated(
+    def _check_names_are_unique(self) -> Manifest:
+        _reject_duplicates(
             'organisation', [org.name for org in self.organisations]
         )
-        _reject_repeated('service', [svc.name for svc in self.services])
-        _reject_repeated('group', [group.name for group in self.groups])
-        _reject_repeated(
+        _reject_duplicates('service', [svc.name for svc in self.services])
+        _reject_duplicates('group', [group.name for group in self.groups])
+        _reject_duplicates(
             'credential',
             [cred for org in self.organisations for cred in org.credentials],
         )
-        _reject_repeated(
+        _reject_duplicates(
             'model',
             [model for svc in self.services for model in svc.models],
         )
         return self
 
     @model_validator(mode='after')
-    def _groups_have_services(self) -> Manifest:
-        known = {svc.name for svc in self.services}
+    def _check_groups_have_services(self) -> Manifest:
+        service_names = {svc.name for svc in self.services}
         for group in self.groups:
-            if group.service not in known:
+            if group.service not in service_names:
                 raise ValueError(
                     f'group {group.name!r} names service {group.service!r}, '
                     'which does not exist',
@@ -180,31 +180,31 @@
         return self
 
 
-def _reject_repeated(kind: str, names: list[str]) -> None:
+def _reject_duplicates(kind: str, names: list[str]) -> None:
     seen: set[str] = set()
     for name in names:
         if name in seen:
-            raise ValueError(f'{kind} {name!r} stands more than once')
+            raise ValueError(f'{kind} {name!r} appears more than once')
         seen.add(name)
 
 
 def parse_manifest(text: bytes) -> Manifest:
-    """Return the manifest in JSON ``text``.
+    """Parse and validate a manifest in JSON.
 
-    Raises ManifestError with one line a fault: the path within the file, what
-    is wrong, and the value given.
+    Raises ManifestError with one line per fault: the path within the file, the
+    fault, and the value given.
     """
     try:
         return Manifest.model_validate_json(text)
     except ValidationError as error:
-        raise ManifestError(describe_faults(error)) from error
+        raise ManifestError(format_faults(error)) from error
 
 
-def describe_faults(error: ValidationError) -> str:
-    """Return one line for each fault that pydantic found."""
+def format_faults(error: ValidationError) -> str:
+    """Return one line for each fault of a validation error."""
     return '\n'.join(
         '{path}: {message} (given: {given:.80})'.format(
-            path='.'.join(str(step) for step in fault['loc']) or '(file)',
+            path='.'.join(str(segment) for segment in fault['loc']) or '(file)',
             message=fault['msg'],
             given=repr(fault['input']),
         )
@@ -213,5 +213,5 @@
 
 
 def hash_credential(token: str) -> str:
-    """Return the form in which a manifest carries a caller's token."""
+    """Return the hash of a caller's token as a manifest contains it."""
     return f'sha256:{hashlib.sha256(token.encode()).hexdigest()}'
--- a/src/amaranthrail/metrics.py
+++ b/src/amaranthrail/metrics.py
@@ -1,4 +1,4 @@
-"""Count, gauge and time; ``exposition`` writes what was collected."""
+"""Collect counters, gauges and latencies; ``exposition`` formats them."""
 
 from __future__ import annotations
 
@@ -7,39 +7,39 @@
 
 from hdrh.histogram import HdrHistogram
 
+#: Longest duration that is recorded as such, in microseconds (an hour).
 _MAX_US = 3_600_000_000
 _SIGNIFICANT_DIGITS = 2
 _US_PER_MS = 1000
 _US_PER_SECOND = 1_000_000
 _QUANTILES = (50.0, 95.0, 99.0)
 
-#: The names and texts of a counter's labels, in the order in which they were
-#: given.
+#: Label names and values of a counter, in the order of the call.
 Labels = tuple[tuple[str, str], ...]
 Sample = tuple[str, dict[str, str], float]
 
 
 class Latency:
-    """Collect durations of one kind in an HDR histogram."""
+    """Record durations of one kind in an HDR histogram."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty histogram."""
         self._histogram = HdrHistogram(1, _MAX_US, _SIGNIFICANT_DIGITS)
         self._total_us = 0.0
 
     def record(self, duration_ms: float) -> None:
-        """Add a duration in milliseconds."""
+        """Record a duration; it is clamped to 1 microsecond to 1 hour."""
         micros = max(1, min(_MAX_US, int(duration_ms * _US_PER_MS)))
         self._histogram.record_value(micros)
         self._total_us += micros
 
     def quantile_ms(self, percent: float) -> float:
-        """Return the duration that ``percent`` in 100 do not exceed."""
-        found: int = self._histogram.get_value_at_percentile(percent)
-        return found / _US_PER_MS
+        """Return a percentile in milliseconds, ``percent`` from 0 to 100."""
+        micros: int = self._histogram.get_value_at_percentile(percent)
+        return micros / _US_PER_MS
 
     def samples(self, name: str) -> Iterator[Sample]:
-        """Yield Prometheus summary samples, in seconds."""
+        """Yield the samples of a Prometheus summary, in seconds."""
         for percent in _QUANTILES:
             labels = {'quantile': str(percent / 100)}
             yield name, labels, self.quantile_ms(percent) / 1000
@@ -48,10 +48,10 @@
 
 
 class Metrics:
-    """Own all metrics of one process."""
+    """Hold all metrics of one process."""
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Create an empty collection."""
         self._latencies: dict[str, Latency] = {}
         self._counters: dict[str, dict[Labels, float]] = {}
         self._gauges: dict[str, float] = {}
@@ -63,27 +63,27 @@
 
     @property
     def counters(self) -> Mapping[str, Mapping[Labels, float]]:
-        """Return the counts by name and labels."""
+        """Return the counters' totals by name and labels."""
         return self._counters
 
     @property
     def gauges(self) -> Mapping[str, float]:
-        """Return the gauges by name."""
+        """Return the last reading of each gauge by name."""
         return self._gauges
 
     def latency(self, name: str) -> Latency:
-        """Return the latency of a name, made at first use."""
+        """Return the latency of a name, creating it at first use."""
         latency = self._latencies.get(name)
         if latency is None:
-            # Making a histogram takes 0.1 ms, so none is made in vain.
+            # Creating a histogram takes 0.1 ms, so only a missing one is.
             latency = Latency()
             self._latencies[name] = latency
         return latency
 
     def count(self, name: str, amount: float = 1, **labels: str) -> None:
-        """Add to a counter; a name always goes with the same labels."""
-        counts = self._counters.setdefault(name, defaultdict(float))
-        counts[tuple(labels.items())] += amount
+        """Add to a counter; each name must always have the same labels."""
+        totals = self._counters.setdefault(name, defaultdict(float))
+        totals[tuple(labels.items())] += amount
 
     def gauge(self, name: str, reading: float) -> None:
         """Set a gauge."""
--- a/src/amaranthrail/orders.py
+++ b/src/amaranthrail/orders.py
@@ -1,6 +1,6 @@
-"""Define the orders that change a group's expert map, and their answers.
+"""Define the orders that change a group's expert map, and their replies.
 
-They travel inside GroupOrder and GroupReply frames as tagged msgpack.
+GroupOrder and GroupReply frames carry them as tagged msgpack maps.
 """
 
 from __future__ import annotations
@@ -10,47 +10,48 @@
 from .exceptions import FrameError
 from .ports import EngineState
 
+#: Largest number of ranks in a group; it keeps fencing numbers unique.
 MAX_RANKS = 1024
 
 
 class Ballot(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """Number a coordinator's turn; the higher one wins."""
+    """Number one attempt of a coordinator; the higher ballot wins."""
 
     number: int
     rank: int
 
     @property
     def fence(self) -> int:
-        """Return the fencing number; also the version of the ballot's map.
+        """Return the fencing number, also the version of the ballot's map.
 
-        It is unique to the ballot and grows with it, so that an order that
-        arrives late can never be taken for one of another ballot.
+        It is unique to the ballot and increases with it, so an order that
+        arrives late is never mistaken for one of another ballot.
         """
         return self.number * MAX_RANKS + self.rank + 1
 
 
 class Order(msgspec.Struct, frozen=True):
-    """Be the base of orders; ``incarnation`` is whom the order is for."""
+    """Serve as the base of orders to the sidecar with ``incarnation``."""
 
     ballot: Ballot
     incarnation: str
 
 
 class Promise(Order, frozen=True, tag='promise'):
-    """Ask a rank to refuse lower ballots and to tell its state.
+    """Ask a rank to refuse lower ballots and to report its state.
 
-    Sent with an empty incarnation: it is how that is learnt.
+    Sent with an empty incarnation, as the reply is what reports it.
     """
 
 
 class Prepare(Order, frozen=True, tag='prepare'):
-    """Fetch the weights of experts that the rank will hold."""
+    """Fetch the weights of the experts that the rank will hold."""
 
     experts: tuple[int, ...]
 
 
 class Arm(Order, frozen=True, tag='arm'):
-    """Take a map from a step on, holding there until told to go on."""
+    """Arm a map for ``from_step``; the rank holds there until confirmed."""
 
     version: int
     from_step: int
@@ -58,22 +59,22 @@
 
 
 class Confirm(Order, frozen=True, tag='confirm'):
-    """Let an armed map come into use."""
+    """Confirm an armed map, which releases the held step."""
 
     version: int
 
 
 class Withdraw(Order, frozen=True, tag='withdraw'):
-    """Drop an armed map that has not been confirmed."""
+    """Discard an armed map that has not been confirmed."""
 
     version: int
 
 
 class RankState(msgspec.Struct, frozen=True, tag='state'):
-    """Tell the state of a rank's engine.
+    """Report the state of a rank's engine.
 
-    ``confirmed`` tells whether what is armed will come to use; the sidecar
-    may know that before its engine does.
+    ``confirmed`` is true if the armed map will be used; the sidecar may know
+    that before its engine does.
     """
 
     incarnation: str
@@ -87,7 +88,7 @@
 
 
 class Declined(msgspec.Struct, frozen=True, tag='declined'):
-    """Refuse an order; ``promised`` is the ballot that must be exceeded."""
+    """Refuse an order; only a ballot above ``promised`` can succeed."""
 
     reason: str
     promised: Ballot
@@ -98,21 +99,21 @@
 
 
 def encode_order(order: AnyOrder | AnyReply) -> bytes:
-    """Return the bytes of an order or a reply."""
+    """Return an order or a reply in msgpack."""
     return msgspec.msgpack.encode(order)
 
 
 def decode_order(payload: bytes) -> AnyOrder:
-    """Return the order in a frame. Raises FrameError."""
+    """Return the order in a frame's payload. Raises FrameError."""
     try:
         return msgspec.msgpack.decode(payload, type=AnyOrder)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise FrameError(f'no valid order: {error}') from error
+        raise FrameError(f'invalid order: {error}') from error
 
 
 def decode_reply(payload: bytes) -> AnyReply:
-    """Return the reply in a frame. Raises FrameError."""
+    """Return the reply in a frame's payload. Raises FrameError."""
     try:
         return msgspec.msgpack.decode(payload, type=AnyReply)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise FrameError(f'no valid reply: {error}') from error
+        raise FrameError(f'invalid reply: {error}') from error
--- a/src/amaranthrail/outcomes.py
+++ b/src/amaranthrail/outcomes.py
@@ -1,4 +1,4 @@
-"""Name what became of a request, and why."""
+"""Define the outcomes of failed requests and their reasons."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Outcome(Enum):
-    """Tell a caller whether its request ran."""
+    """State whether a request ran at an upstream."""
 
     RAN = 'ran'
     NOT_RUN = 'not-run'
@@ -17,7 +17,7 @@
 
 
 class Reason(Enum):
-    """Say why a request was refused or lost."""
+    """State why a request was refused or lost."""
 
     BAD_REQUEST = 'bad-request'
     BAD_CREDENTIAL = 'bad-credential'
@@ -46,7 +46,7 @@
     ANSWER_TOO_LARGE = 'answer-too-large'
 
 
-_STATUS = MappingProxyType(
+_STATUS_BY_REASON = MappingProxyType(
     {
         Reason.BAD_REQUEST: 400,
         Reason.KEY_REQUIRED: 400,
@@ -63,7 +63,11 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """Stand for an answer that is not there, with its outcome and reason."""
+    """Describe why a request has no response, and whether it ran.
+
+    ``retry_after_ms`` is the time after which a retry may succeed, None if
+    unknown.
+    """
 
     outcome: Outcome
     reason: Reason
@@ -72,11 +76,15 @@
 
     @property
     def status(self) -> int:
-        """Return the HTTP status that tells this refusal to a caller."""
+        """Return the HTTP status for the caller.
+
+        It depends on the reason; for the others it is 503 if the request did
+        not run and 504 if it may have run.
+        """
         fallback = _STATUS_UNKNOWN
         if self.outcome is Outcome.NOT_RUN:
             fallback = _STATUS_NOT_RUN
-        return _STATUS.get(self.reason, fallback)
+        return _STATUS_BY_REASON.get(self.reason, fallback)
 
 
 def not_run(
@@ -84,10 +92,10 @@
     detail: str = '',
     retry_after_ms: int | None = None,
 ) -> Refusal:
-    """Return the refusal of work that certainly did not run."""
+    """Return the refusal of a request that certainly did not run."""
     return Refusal(Outcome.NOT_RUN, reason, detail, retry_after_ms)
 
 
 def unknown_outcome(reason: Reason, detail: str = '') -> Refusal:
-    """Return the refusal of work that may have run."""
+    """Return the refusal of a request that may have run."""
     return Refusal(Outcome.UNKNOWN, reason, detail)
--- a/tests/test_manifest.py
+++ b/tests/test_manifest.py
@@ -44,7 +44,7 @@
     (_set('services', 0, 'models')([]), 'lists at least one model'),
     (_set('services', 1, 'path_prefix')(None), 'has a path_prefix'),
     (_set('services', 1, 'name')('Bad Name'), 'services.1.name: String should'),
-    (_repeat_service, "service 'redattore' stands more than once"),
+    (_repeat_service, "service 'redattore' appears more than once"),
     (_set('organisations', 0, 'credentials')(['x']), 'credentials.0: String'),
     (_set('organisations', 0, 'weight')(-1), 'organisations.0.weight: Input'),
     (
