--- a/src/amaranthrail/metrics.py
+++ b/src/amaranthrail/metrics.py
@@ -75,7 +75,7 @@
         """Return the latency of a name, creating it at first use."""
         latency = self._latencies.get(name)
         if latency is None:
-            # Creating a histogram takes 0.1 ms, so only a missing one is.
+            # Creating a histogram takes 0.1 ms, so it is done only if missing.
             latency = Latency()
             self._latencies[name] = latency
         return latency
--- a/src/amaranthrail/ports.py
+++ b/src/amaranthrail/ports.py
@@ -1,6 +1,6 @@
-"""Declare what the product needs from the platform.
+"""Define the interfaces to the platform's services and to rank engines.
 
-Adapters implement these over HTTP; tests implement them in memory.
+Adapters implement them over HTTP, tests in memory.
 """
 
 from __future__ import annotations
@@ -14,7 +14,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEntry:
-    """Hold one record of the log as it was read."""
+    """Hold one log record as read.
+
+    ``appended_at`` is the log's wall clock in milliseconds.
+    """
 
     offset: Offset
     appended_at: int
@@ -23,7 +26,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LogBatch:
-    """Hold records in order; ``first`` is the oldest offset still kept."""
+    """Hold the records of one read in order.
+
+    ``first`` is the oldest offset that the log still keeps; ``retention_ms``
+    is how long it keeps a record.
+    """
 
     first: Offset
     records: tuple[LogEntry, ...]
@@ -31,23 +38,23 @@
 
 
 class LogPort(Protocol):
-    """Append to and read the platform's log service."""
+    """Append to and read streams of the platform's log service."""
 
     async def append(self, stream: str, text: bytes) -> Offset:
         """Append a record and return its offset.
 
-        Raises LogUnavailableError; the record may be in the log all the same.
+        Raises LogUnavailableError; the record may have been appended even then.
         """
 
     async def read(self, stream: str, after: int, wait_ms: int) -> LogBatch:
-        """Return records above an offset, waiting for one if there is none.
+        """Return the records above offset ``after``.
 
-        Raises LogUnavailableError.
+        Waits up to ``wait_ms`` if there is none. Raises LogUnavailableError.
         """
 
 
 class HostState(Enum):
-    """Say whether the platform means to keep a host."""
+    """State whether the platform keeps a host or is about to remove it."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
@@ -55,7 +62,10 @@
 
 @dataclass(frozen=True, slots=True)
 class HostRecord:
-    """Describe one upstream host's slot as the platform lists it."""
+    """Describe the sidecar of one upstream as listed by the platform.
+
+    ``rank`` is -1 for an upstream that is in no group.
+    """
 
     upstream: UpstreamName
     service: ServiceName
@@ -68,17 +78,19 @@
 
 
 class HostListPort(Protocol):
-    """Read the platform's lagging list of hosts."""
+    """Read the platform's list of hosts, which lags behind changes."""
 
     async def hosts(self) -> tuple[HostRecord, ...] | None:
-        """Return all listed hosts, or None while the list cannot be had."""
+        """Return all listed hosts, or None while the list is unavailable."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineState:
-    """Hold what a rank's engine uses, is armed with and has measured.
+    """Report a rank engine's map in use, its armed map and measured loads.
 
-    ``loads`` has one number an expert that this rank holds, 0 for the others.
+    ``version`` and ``ranks`` describe the map in use, ``armed`` and
+    ``armed_ranks`` the armed one. ``loads`` has one number per expert, 0 for
+    those that this rank does not hold.
     """
 
     step: int
@@ -93,10 +105,10 @@
 
 
 class RankEnginePort(Protocol):
-    """Order one rank's engine; ``fence`` grows with every coordinator."""
+    """Control one rank's engine; ``fence`` increases with each coordinator."""
 
     async def state(self) -> EngineState | None:
-        """Return the engine's state, None where it does not answer."""
+        """Return the engine's state, None if it does not respond."""
 
     async def arm(
         self,
@@ -105,17 +117,17 @@
         from_step: int,
         ranks: tuple[int, ...],
     ) -> bool:
-        """Arm a map; tell whether the engine will hold at that step."""
+        """Arm a map; return whether the engine will hold at ``from_step``."""
 
     async def release(self, fence: int, version: int) -> bool:
-        """Let an armed map come into use."""
+        """Release an armed map for use; return whether the engine did."""
 
     async def cancel(self, fence: int, version: int) -> bool:
-        """Drop an armed map."""
+        """Discard an armed map; return whether the engine did."""
 
 
 class WeightStorePort(Protocol):
-    """Fetch weights, at the rate that the store allows."""
+    """Fetch expert weights, limited by the store's rate."""
 
     async def fetch(self, expert: int) -> bool:
-        """Fetch one expert's weights; tell whether they came."""
+        """Fetch one expert's weights; return whether they arrived."""
--- a/src/amaranthrail/publish.py
+++ b/src/amaranthrail/publish.py
@@ -1,4 +1,4 @@
-"""Append to the control stream and learn what became of the record."""
+"""Append to the control stream and wait until the record is read back."""
 
 from __future__ import annotations
 
@@ -18,7 +18,8 @@
     new_record_id,
 )
 
-_REPEAT_MS = 300
+#: Delay before an append that was not read back is retried, in ms.
+_APPEND_RETRY_MS = 300
 
 
 async def append_until_seen(
@@ -26,15 +27,15 @@
     record: Record,
     seen: trio.Event,
 ) -> None:
-    """Append a record again and again until a reader has seen it."""
+    """Append a record, with retries, until ``seen`` is set by its reader."""
     text = encode_record(record)
     while not seen.is_set():
         try:
             await log.append(CONTROL_STREAM, text)
         except LogUnavailableError:
-            await sleep(_REPEAT_MS)
+            await sleep(_APPEND_RETRY_MS)
             continue
-        with move_on_after(_REPEAT_MS):
+        with move_on_after(_APPEND_RETRY_MS):
             await seen.wait()
 
 
@@ -44,9 +45,9 @@
     change: ManifestChange,
     timeout_ms: int,
 ) -> PublishResult | None:
-    """Append a change and return its verdict, None if not known in time.
+    """Append a change and return its result, None if unknown in time.
 
-    The configuration must be following the log meanwhile.
+    Meanwhile another task must apply the control stream to ``configuration``.
     """
     seen = trio.Event()
 
@@ -63,7 +64,7 @@
 
 
 def new_change(base: int, text: bytes, author: str) -> ManifestChange:
-    """Return the record that proposes a manifest made from ``base``."""
+    """Return a record proposing a manifest edited from version ``base``."""
     return ManifestChange(
         id=new_record_id(),
         base=base,
@@ -78,16 +79,19 @@
     order: Drain,
     timeout_ms: int,
 ) -> bool:
-    """Append a drain order; tell whether it was seen in force in time."""
-    before = configuration.drains_version
+    """Append a drain order; return whether it came into force in time.
+
+    Meanwhile another task must apply the control stream to ``configuration``.
+    """
+    previous_version = configuration.drains_version
     seen = trio.Event()
 
-    def in_force() -> bool:
+    def is_in_force() -> bool:
         offset, draining = configuration.drains.get(order.upstream, (0, False))
-        return offset > before and draining == order.draining
+        return offset > previous_version and draining == order.draining
 
     async def watch() -> None:
-        while not in_force():
+        while not is_in_force():
             await configuration.wait_changed()
         seen.set()
 
--- a/src/amaranthrail/records.py
+++ b/src/amaranthrail/records.py
@@ -1,7 +1,8 @@
-"""Define the records that the system keeps in the platform's log.
+"""Define the records in the platform's log and their codec.
 
-A record is one JSON object with a ``type`` and an ``id`` of its own. An append
-may be repeated; the first copy in log order counts.
+A record is one JSON object with a ``type`` and a unique ``id``. An append may
+be retried, so a record can be in the log more than once; the first copy in log
+order counts.
 """
 
 from __future__ import annotations
@@ -11,17 +12,18 @@
 
 import msgspec
 
+#: Name of the stream of manifests and drain orders.
 CONTROL_STREAM = 'control'
 
 
 class Record(msgspec.Struct, tag_field='type', frozen=True, kw_only=True):
-    """Be the base of all records."""
+    """Serve as the base class of all records."""
 
     id: str
 
 
 class ManifestChange(Record, frozen=True, kw_only=True, tag='manifest-change'):
-    """Propose a manifest made from version ``base``."""
+    """Propose a manifest that was edited from version ``base``."""
 
     base: int
     author: str
@@ -31,7 +33,10 @@
 class ManifestSnapshot(
     Record, frozen=True, kw_only=True, tag='manifest-snapshot'
 ):
-    """Repeat the manifest in force before retention drops its change."""
+    """Renew the manifest in force before the log drops its change record.
+
+    ``drains`` has the upstream, log offset and state of each drain order.
+    """
 
     version: int
     manifest: msgspec.Raw
@@ -39,7 +44,7 @@
 
 
 class Drain(Record, frozen=True, kw_only=True, tag='drain'):
-    """Start or end the drain of an upstream by an operator's word."""
+    """Start or end the drain of an upstream, as ordered by an operator."""
 
     upstream: str
     draining: bool
@@ -47,7 +52,7 @@
 
 
 class AttemptState(Enum):
-    """Say where a key's latest attempt stands."""
+    """State the result of a key's latest attempt, or that it is open."""
 
     OPEN = 'open'
     RAN = 'ran'
@@ -56,7 +61,7 @@
 
 
 class Fact(msgspec.Struct, tag_field='fact', frozen=True, kw_only=True):
-    """Be the base of what a shard says about one key."""
+    """Serve as the base of the facts that a shard records about one key."""
 
     key: str
 
@@ -64,8 +69,8 @@
 class Intent(Fact, frozen=True, kw_only=True, tag='intent'):
     """Claim a key for one attempt at one sidecar incarnation.
 
-    ``id`` is unique to the attempt and names it at the sidecar; ``deadline``
-    is wall milliseconds.
+    ``id`` is unique to the attempt and identifies it at the sidecar;
+    ``deadline`` is in milliseconds since the Unix epoch.
     """
 
     id: str
@@ -80,7 +85,7 @@
 
 
 class Conclusion(Fact, frozen=True, kw_only=True, tag='conclusion'):
-    """Say how the attempt of an intent ended."""
+    """Record how the attempt of an intent ended, with its response if any."""
 
     intent: str
     state: AttemptState
@@ -91,7 +96,7 @@
 
 
 class Resolution(Fact, frozen=True, kw_only=True, tag='resolution'):
-    """Close a lost attempt by an operator's word: ran or void."""
+    """Record an operator's decision on a lost attempt: ran or void."""
 
     intent: str
     state: AttemptState
@@ -102,7 +107,7 @@
 
 
 class FactBatch(Record, frozen=True, kw_only=True, tag='filings'):
-    """Carry what one entry has to say of a shard, in order."""
+    """Carry facts that one entry appends to a shard, in order."""
 
     facts: tuple[AnyFact, ...]
 
@@ -113,17 +118,17 @@
 
 
 def new_record_id() -> str:
-    """Return an id that no other record has."""
+    """Return a random id that is unique to the record."""
     return uuid.uuid4().hex
 
 
 def encode_record(record: Record) -> bytes:
-    """Return the JSON text of a record."""
+    """Return a record as JSON."""
     return msgspec.json.encode(record)
 
 
 def decode_record(text: bytes) -> AnyRecord | None:
-    """Return the record in ``text``, or None where there is none."""
+    """Return the record in ``text``, or None if it is not valid."""
     try:
         return _decoder.decode(text)
     except (msgspec.DecodeError, RecursionError):
@@ -131,5 +136,5 @@
 
 
 def shard_stream(shard: int) -> str:
-    """Return the name of the stream that keeps a shard of the keys."""
+    """Return the name of the stream of one shard of the idempotency keys."""
     return f'filings-{shard}'
--- a/src/amaranthrail/requestlog.py
+++ b/src/amaranthrail/requestlog.py
@@ -1,4 +1,4 @@
-"""Tell the story of one request from the logs of many processes."""
+"""Collect the log lines that explain one request from many processes."""
 
 from __future__ import annotations
 
@@ -9,77 +9,88 @@
 
 import msgspec
 
-#: Changes of belief this long before a request's lines are part of its story.
-BELIEF_WINDOW = timedelta(seconds=10)
-#: Parts whose lines say what a process believes.
-BELIEF_PARTS = ('world:', 'upstreams:', 'sync:', 'keeper:', 'leader:', 'entry:')
-_SHOWN_APART = frozenset(('timestamp', 'process', 'event', 'level', 'request'))
+#: Time before a request's first line from which changes of the local view of
+#: its processes are included.
+VIEW_LOOKBACK = timedelta(seconds=10)
+#: Prefixes of events that show changes of a process's local view.
+VIEW_PARTS = ('world:', 'upstreams:', 'sync:', 'keeper:', 'leader:', 'entry:')
+#: Fields that a formatted line does not repeat as name=value.
+_OMITTED_FIELDS = frozenset(
+    ('timestamp', 'process', 'event', 'level', 'request')
+)
 
 
-class _WireLine(msgspec.Struct):
+class _RequiredFields(msgspec.Struct):
     timestamp: datetime
     event: str
     process: str = ''
 
 
-_line_decoder = msgspec.json.Decoder(_WireLine)
+_required_decoder = msgspec.json.Decoder(_RequiredFields)
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
     """Hold one line of a structured log."""
 
-    at: datetime
+    timestamp: datetime
     process: str
     event: str
     fields: dict[str, Any]
 
     def formatted(self) -> str:
-        """Return the line as a person reads it."""
+        """Return the line as plain text, with other fields as name=value."""
         rest = ' '.join(
-            f'{name}={given}'
-            for name, given in self.fields.items()
-            if name not in _SHOWN_APART
+            f'{name}={field}'
+            for name, field in self.fields.items()
+            if name not in _OMITTED_FIELDS
         )
-        moment = self.at.isoformat(timespec='milliseconds')
-        return f'{moment} {self.process} {self.event} {rest}'
+        time = self.timestamp.isoformat(timespec='milliseconds')
+        return f'{time} {self.process} {self.event} {rest}'
 
 
 def parse_log_lines(text: Iterable[str]) -> Iterator[LogLine]:
-    """Yield the structured lines among others.
+    """Yield the structured log lines in ``text``, skipping other lines.
 
     A line may have other text before its JSON object.
     """
     for raw in text:
-        begin = raw.find('{')
-        if begin < 0:
+        start = raw.find('{')
+        if start < 0:
             continue
         try:
-            line = _line_decoder.decode(raw[begin:])
+            line = _required_decoder.decode(raw[start:])
         except msgspec.DecodeError:
-            # Not a line of ours, such as a traceback.
+            # Not a structured log line, for example part of a traceback.
             continue
-        fields = msgspec.json.decode(raw[begin:])
+        fields = msgspec.json.decode(raw[start:])
         yield LogLine(line.timestamp, line.process, line.event, fields)
 
 
 def explain_request(request: str, lines: Iterable[LogLine]) -> list[LogLine]:
-    """Return a request's lines and what its processes learnt before them."""
-    known = sorted(lines, key=_time_of)
-    own = [line for line in known if line.fields.get('request') == request]
-    if not own:
+    """Return a request's log lines and the changes of view that led to them.
+
+    Changes of the local view are those of the same processes, from
+    VIEW_LOOKBACK before the request's first line to its last. The lines are
+    in order of time; there are none for an unknown request.
+    """
+    all_lines = sorted(lines, key=_timestamp)
+    request_lines = [
+        line for line in all_lines if line.fields.get('request') == request
+    ]
+    if not request_lines:
         return []
-    processes = {line.process for line in own}
-    begin = own[0].at - BELIEF_WINDOW
-    beliefs = [
+    processes = {line.process for line in request_lines}
+    start = request_lines[0].timestamp - VIEW_LOOKBACK
+    view_changes = [
         line
-        for line in known
+        for line in all_lines
         if line.process in processes
-        and begin <= line.at <= own[-1].at
-        and line.event.startswith(BELIEF_PARTS)
+        and start <= line.timestamp <= request_lines[-1].timestamp
+        and line.event.startswith(VIEW_PARTS)
     ]
-    return sorted((*own, *beliefs), key=_time_of)
+    return sorted((*request_lines, *view_changes), key=_timestamp)
 
 
-def _time_of(line: LogLine) -> datetime:
-    return line.at
+def _timestamp(line: LogLine) -> datetime:
+    return line.timestamp
--- a/src/amaranthrail/runtime.py
+++ b/src/amaranthrail/runtime.py
@@ -1,4 +1,4 @@
-"""Bundle what every part of one process shares."""
+"""Define the objects that all parts of one process share."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 def new_incarnation() -> Incarnation:
-    """Return the identity of a fresh run of a process."""
+    """Return a random identity for one run of a process."""
     return Incarnation(secrets.token_hex(_INCARNATION_BYTES))
 
 
 @dataclass(frozen=True)
 class Runtime:
-    """Hold one process's identity, clock, records and configuration."""
+    """Hold one process's identity, clock, metrics, events, configuration."""
 
     process: ProcessName
     domain: DomainName
@@ -34,7 +34,7 @@
     pulls: PullLimiter = field(init=False)
 
     def __post_init__(self) -> None:
-        """Make the parts that need the others."""
+        """Create the timeline and the pull limiter from the other fields."""
         timeline = Timeline(self.clock, self.process, self.incarnation)
         object.__setattr__(self, 'timeline', timeline)
         pulls = PullLimiter(self.clock, self.configuration)
--- a/src/amaranthrail/timeline.py
+++ b/src/amaranthrail/timeline.py
@@ -1,4 +1,4 @@
-"""Keep this process's recent events and merge those of many processes."""
+"""Record a process's recent events and merge those of many processes."""
 
 from __future__ import annotations
 
@@ -10,13 +10,15 @@
 from .clock import Clock
 from .types import Incarnation, ProcessName
 
-_KEPT_EVENTS = 4096
+#: Number of events that a process keeps.
+_MAX_EVENTS = 4096
 
 
 class Event(msgspec.Struct, frozen=True):
-    """Record one thing that happened in one process.
+    """Describe one event in one process.
 
-    ``stamp`` is a hybrid logical clock reading (see clock.Clock).
+    ``stamp`` is a hybrid logical clock reading (see clock.Clock); ``sequence``
+    numbers the events of an incarnation from 1.
     """
 
     stamp: int
@@ -29,7 +31,7 @@
 
 
 class Timeline:
-    """Keep the latest events of this process, oldest dropped first."""
+    """Keep the latest events of one process, dropping the oldest first."""
 
     def __init__(
         self,
@@ -37,15 +39,15 @@
         process: ProcessName,
         incarnation: Incarnation,
     ) -> None:
-        """Take the clock that stamps and the names that sign events."""
+        """Set the clock and the process identity of the events."""
         self._clock = clock
         self._process = process
         self._incarnation = incarnation
-        self._events: deque[Event] = deque(maxlen=_KEPT_EVENTS)
+        self._events: deque[Event] = deque(maxlen=_MAX_EVENTS)
         self._sequence = 0
 
     def add(self, name: str, subject: str = '', detail: str = '') -> None:
-        """Record an event now."""
+        """Record an event with the current stamp."""
         self._sequence += 1
         self._events.append(
             Event(
@@ -60,12 +62,12 @@
         )
 
     def events_after(self, sequence: int) -> list[Event]:
-        """Return the kept events above a sequence number."""
+        """Return the kept events with a higher sequence number."""
         return [event for event in self._events if event.sequence > sequence]
 
 
 def merge_events(sources: Iterable[Iterable[Event]]) -> list[Event]:
-    """Return all events once each, causes before their effects."""
+    """Return each event once, in stamp order: causes before effects."""
     unique = {
         (event.incarnation, event.sequence): event
         for source in sources
@@ -81,10 +83,10 @@
 
 
 def encode_events(events: list[Event]) -> bytes:
-    """Return events as a JSON list."""
+    """Return events as a JSON list of objects."""
     return msgspec.json.encode(events)
 
 
 def decode_events(text: bytes) -> list[Event]:
-    """Return the events of a JSON list."""
+    """Return the events of a JSON list. Raises msgspec.DecodeError."""
     return _events_decoder.decode(text)
--- a/src/amaranthrail/tls.py
+++ b/src/amaranthrail/tls.py
@@ -1,4 +1,4 @@
-"""Build TLS contexts: server side for callers, mutual between peers."""
+"""Create TLS contexts: server TLS for callers, mutual TLS between peers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsFiles:
-    """Name the PEM files of one side; ``authority`` asks for peers' proof."""
+    """Name the PEM files of one side of a connection.
+
+    ``authority`` is the CA that signs the peers' certificates; a listening side
+    without one accepts clients without a certificate.
+    """
 
     certificate: Path
     key: Path
@@ -20,35 +24,37 @@
 
 
 def is_loopback(host: str) -> bool:
-    """Tell whether an IP number stays on this machine."""
+    """Return whether an IP address is loopback; raise ValueError if invalid."""
     return ipaddress.ip_address(host).is_loopback
 
 
 def server_context(files: TlsFiles) -> ssl.SSLContext:
     """Return the context of a listening side.
 
-    With an authority, the connecting side must show a certificate of it.
+    With an authority, clients must present a certificate that it signed. Raises
+    SettingError for files that cannot be loaded.
     """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
-    _load(context, files)
+    _load_files(context, files)
     if files.authority is not None:
         context.verify_mode = ssl.CERT_REQUIRED
     return context
 
 
 def client_context(files: TlsFiles) -> ssl.SSLContext:
-    """Return the context of a connecting side that shows its certificate.
+    """Return the context of a connecting side that presents a certificate.
 
-    Certificates name IP numbers, so the host name check stays on.
+    Certificates are issued for IP addresses, so host name checking stays on.
+    Raises SettingError for files that cannot be loaded.
     """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
-    _load(context, files)
+    _load_files(context, files)
     return context
 
 
-def _load(context: ssl.SSLContext, files: TlsFiles) -> None:
+def _load_files(context: ssl.SSLContext, files: TlsFiles) -> None:
     try:
         context.load_cert_chain(files.certificate, files.key)
         if files.authority is not None:
--- a/src/amaranthrail/types.py
+++ b/src/amaranthrail/types.py
@@ -1,4 +1,4 @@
-"""Define the ids and the aliases that the whole package shares."""
+"""Define the identifier types and aliases used in the whole package."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 GroupName = NewType('GroupName', str)
 ProcessName = NewType('ProcessName', str)
 
-#: Random identity of one run of one process; a restart makes a new one.
+#: Random identity of one run of a process; a restart creates a new one.
 Incarnation = NewType('Incarnation', str)
-#: ``<entry incarnation>-<sequence>``; unique over all entries and time.
+#: ``<entry incarnation>-<sequence>``; unique across entries and restarts.
 RequestId = NewType('RequestId', str)
 #: A caller's ``Idempotency-Key``, qualified by its organisation.
 IdempotencyKey = NewType('IdempotencyKey', str)
@@ -21,16 +21,19 @@
 Version = NewType('Version', int)
 #: Position of a record in a stream of the log, from 1.
 Offset = NewType('Offset', int)
-#: A span or a point in time, in milliseconds.
+#: Duration or point in time, in milliseconds.
 Millis = NewType('Millis', float)
 
-#: Where callers put their idempotency key.
+#: Request header field that carries a caller's idempotency key.
 KEY_HEADER = 'idempotency-key'
 
-#: HTTP header fields in order of arrival, names in lower case.
+#: HTTP header fields in the order received, names in lower case.
 HeaderList = tuple[tuple[str, str], ...]
 
 
 def qualified_key(organisation: str, key: str) -> IdempotencyKey:
-    """Return a caller's key as the record has it: it is its organisation's."""
+    """Return a caller's key qualified by its organisation.
+
+    Keys of different organisations are thereby distinct.
+    """
     return IdempotencyKey(f'{organisation}/{key}')
