--- a/src/amaranthrail/consumer.py
+++ b/src/amaranthrail/consumer.py
@@ -85,7 +85,7 @@
             self._caught_up.set()
 
     def _apply_batch(self, batch: LogBatch) -> None:
-        self._oldest_offset = int(batch.first)
+        self._oldest_offset = int(batch.oldest_offset)
         self._retention_ms = batch.retention_ms
         for entry in batch.records:
             # A lagging reader on the log service's side may return old records.
--- a/src/amaranthrail/ports.py
+++ b/src/amaranthrail/ports.py
@@ -28,11 +28,11 @@
 class LogBatch:
     """Hold the records of one read in order.
 
-    ``first`` is the oldest offset that the log still keeps; ``retention_ms``
+    ``oldest_offset`` is the first that the log still keeps; ``retention_ms``
     is how long it keeps a record.
     """
 
-    first: Offset
+    oldest_offset: Offset
     records: tuple[LogEntry, ...]
     retention_ms: int
 
