--- a/src/amaranthrail/requestlog.py
+++ b/src/amaranthrail/requestlog.py
@@ -33,7 +33,7 @@
 class LogLine:
     """Hold one line of a structured log."""
 
-    timestamp: datetime
+    at: datetime
     process: str
     event: str
     fields: dict[str, Any]
@@ -45,7 +45,7 @@
             for name, field in self.fields.items()
             if name not in _OMITTED_FIELDS
         )
-        time = self.timestamp.isoformat(timespec='milliseconds')
+        time = self.at.isoformat(timespec='milliseconds')
         return f'{time} {self.process} {self.event} {rest}'
 
 
@@ -55,15 +55,15 @@
     A line may have other text before its JSON object.
     """
     for raw in text:
-        start = raw.find('{')
-        if start < 0:
+        begin = raw.find('{')
+        if begin < 0:
             continue
         try:
-            line = _required_decoder.decode(raw[start:])
+            line = _required_decoder.decode(raw[begin:])
         except msgspec.DecodeError:
-            # Not a structured log line, for example part of a traceback.
+            # Not a structured line, such as a traceback.
             continue
-        fields = msgspec.json.decode(raw[start:])
+        fields = msgspec.json.decode(raw[begin:])
         yield LogLine(line.timestamp, line.process, line.event, fields)
 
 
@@ -74,23 +74,23 @@
     VIEW_LOOKBACK before the request's first line to its last. The lines are
     in order of time; there are none for an unknown request.
     """
-    all_lines = sorted(lines, key=_timestamp)
+    all_lines = sorted(lines, key=_time_of)
     request_lines = [
         line for line in all_lines if line.fields.get('request') == request
     ]
     if not request_lines:
         return []
     processes = {line.process for line in request_lines}
-    start = request_lines[0].timestamp - VIEW_LOOKBACK
+    begin = request_lines[0].at - VIEW_LOOKBACK
     view_changes = [
         line
         for line in all_lines
         if line.process in processes
-        and start <= line.timestamp <= request_lines[-1].timestamp
+        and begin <= line.at <= request_lines[-1].at
         and line.event.startswith(VIEW_PARTS)
     ]
-    return sorted((*request_lines, *view_changes), key=_timestamp)
+    return sorted((*request_lines, *view_changes), key=_time_of)
 
 
-def _timestamp(line: LogLine) -> datetime:
-    return line.timestamp
+def _time_of(line: LogLine) -> datetime:
+    return line.at
