--- a/src/amaranthrail/requestlog.py
+++ b/src/amaranthrail/requestlog.py
@@ -20,13 +20,13 @@
 )
 
 
-class _RequiredFields(msgspec.Struct):
+class _WireLine(msgspec.Struct):
     timestamp: datetime
     event: str
     process: str = ''
 
 
-_required_decoder = msgspec.json.Decoder(_RequiredFields)
+_line_decoder = msgspec.json.Decoder(_WireLine)
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,8 +45,8 @@
             for name, field in self.fields.items()
             if name not in _OMITTED_FIELDS
         )
-        time = self.at.isoformat(timespec='milliseconds')
-        return f'{time} {self.process} {self.event} {rest}'
+        moment = self.at.isoformat(timespec='milliseconds')
+        return f'{moment} {self.process} {self.event} {rest}'
 
 
 def parse_log_lines(text: Iterable[str]) -> Iterator[LogLine]:
@@ -59,7 +59,7 @@
         if begin < 0:
             continue
         try:
-            line = _required_decoder.decode(raw[begin:])
+            line = _line_decoder.decode(raw[begin:])
         except msgspec.DecodeError:
             # Not a structured line, such as a traceback.
             continue
