--- a/src/amaranthrail/settings.py
+++ b/src/amaranthrail/settings.py
@@ -1,4 +1,4 @@
-"""Hold one process's settings, filled from flags, environment, defaults."""
+"""Define and validate the settings of entries and sidecars."""
 
 from __future__ import annotations
 
@@ -23,31 +23,33 @@
 from .logs import LogFormat, LogLevel
 from .tls import TlsFiles, is_loopback
 
+#: Prefix of the environment variables of settings.
 ENVIRONMENT_PREFIX = 'AMARANTHRAIL_'
+#: Shortest token or key that is accepted, in characters.
 MIN_SECRET_LENGTH = 16
 _MAX_PORT = 65_535
 
 
-def _read_address(given: object) -> Address:
+def _parse_endpoint(raw: object) -> Address:
     try:
-        address = parse_address(str(given))
+        address = parse_address(str(raw))
         is_loopback(address.host)
     except ValueError as error:
         raise ValueError(
-            'give an IP number and a port, as in 127.0.0.1:8080'
+            'give an IP address and a port, as in 127.0.0.1:8080'
         ) from error
     if not 0 <= address.port <= _MAX_PORT:
         raise ValueError('give a port from 0 to 65535')
     return address
 
 
-Endpoint = Annotated[Address, BeforeValidator(_read_address)]
+Endpoint = Annotated[Address, BeforeValidator(_parse_endpoint)]
 Secret = Annotated[str, Field(min_length=MIN_SECRET_LENGTH, repr=False)]
-ShortMs = Annotated[int, Field(ge=10, le=60_000)]
+IntervalMs = Annotated[int, Field(ge=10, le=60_000)]
 
 
 class ProcessSettings(BaseModel):
-    """Hold the settings that entries and sidecars share."""
+    """Define the settings that entries and sidecars share."""
 
     model_config = ConfigDict(
         extra='forbid',
@@ -60,23 +62,29 @@
         Field(min_length=1, max_length=64),
         Doc('name of this process, unique in the deployment'),
     ]
-    listen: Annotated[Endpoint, Doc('IP number and port to serve on')]
+    listen: Annotated[Endpoint, Doc('IP address and port to serve on')]
     admin_listen: Annotated[
         Endpoint,
-        Doc('IP number and port of administration, health and metrics'),
+        Doc('IP address and port of administration, health and metrics'),
     ]
     admin_token: Annotated[Secret, Doc('token of the administration API')]
-    peer_key: Annotated[Secret, Doc('key that all processes share')]
+    peer_key: Annotated[
+        Secret, Doc('key that all processes share to authenticate each other')
+    ]
     domain: Annotated[
         str,
         Field(min_length=1),
-        Doc('failure domain that this process is in'),
+        Doc('failure domain of this process'),
+    ]
+    platform: Annotated[
+        Endpoint, Doc('address of the log service and host list')
     ]
-    platform: Annotated[Endpoint, Doc('address of log service and host list')]
-    heartbeat_ms: Annotated[ShortMs, Doc('time between heartbeats')] = 500
+    heartbeat_ms: Annotated[
+        IntervalMs, Doc('interval between heartbeats, in ms')
+    ] = 500
     silence_ms: Annotated[
-        ShortMs,
-        Doc('silence of a peer that ends its connection'),
+        IntervalMs,
+        Doc('time without a frame until a peer is disconnected, in ms'),
     ] = 2000
     log_format: Annotated[LogFormat, Doc('json or console')] = LogFormat.JSON
     log_level: Annotated[
@@ -85,7 +93,7 @@
     ] = LogLevel.INFO
     peer_certificate: Annotated[
         Path | None,
-        Doc('PEM certificate shown to peers'),
+        Doc('PEM certificate presented to peers'),
     ] = None
     peer_private_key: Annotated[
         Path | None,
@@ -93,12 +101,12 @@
     ] = None
     peer_authority: Annotated[
         Path | None,
-        Doc('PEM authority that signs peer certificates'),
+        Doc('PEM certificate of the CA that signs peer certificates'),
     ] = None
 
     @property
     def peer_tls(self) -> TlsFiles | None:
-        """Return the files for mutual TLS between peers, if set."""
+        """Return the files for mutual TLS between peers, None if not set."""
         if self.peer_certificate is None or self.peer_private_key is None:
             return None
         return TlsFiles(
@@ -108,7 +116,7 @@
         )
 
     @model_validator(mode='after')
-    def _peer_files_go_together(self) -> ProcessSettings:
+    def _check_peer_settings(self) -> ProcessSettings:
         files = (
             self.peer_certificate,
             self.peer_private_key,
@@ -127,34 +135,34 @@
 
 
 class EntrySettings(ProcessSettings):
-    """Hold an entry's settings."""
+    """Define an entry's settings."""
 
     subset: Annotated[
         int,
         Field(ge=1, le=10_000),
-        Doc('replicas of each service to stay connected to'),
+        Doc('number of replicas of each service to stay connected to'),
     ] = 32
     shards: Annotated[
         int,
         Field(ge=1, le=256),
-        Doc('shards of the filing record, the same at every entry'),
+        Doc('shards of the keyed requests, the same at every entry'),
     ] = 4
     shard_interval_ms: Annotated[
         int,
         Field(ge=0, le=10_000),
-        Doc('least time between two appends to one shard'),
+        Doc('least time between two appends to one shard, in ms'),
     ] = 20
     hosts_interval_ms: Annotated[
-        ShortMs,
-        Doc('time between reads of the host list'),
+        IntervalMs,
+        Doc('interval between reads of the host list, in ms'),
     ] = 500
     lost_grace_ms: Annotated[
-        ShortMs,
-        Doc('time past its deadline until a filing counts as lost'),
+        IntervalMs,
+        Doc('time past its deadline until a keyed request is lost, in ms'),
     ] = 2000
     caller_certificate: Annotated[
         Path | None,
-        Doc('PEM certificate shown to callers'),
+        Doc('PEM certificate presented to callers'),
     ] = None
     caller_private_key: Annotated[
         Path | None,
@@ -163,13 +171,13 @@
 
     @property
     def caller_tls(self) -> TlsFiles | None:
-        """Return the files for TLS towards callers, if set."""
+        """Return the files for TLS with callers, None if not set."""
         if self.caller_certificate is None or self.caller_private_key is None:
             return None
         return TlsFiles(self.caller_certificate, self.caller_private_key)
 
     @model_validator(mode='after')
-    def _caller_files_go_together(self) -> EntrySettings:
+    def _check_caller_settings(self) -> EntrySettings:
         if (self.caller_certificate is None) != (
             self.caller_private_key is None
         ):
@@ -190,7 +198,7 @@
 
 
 class SidecarSettings(ProcessSettings):
-    """Hold a sidecar's settings."""
+    """Define a sidecar's settings."""
 
     service: Annotated[
         str,
@@ -200,13 +208,15 @@
     upstream: Annotated[
         str,
         Field(min_length=1),
-        Doc('name of the upstream, as the host list has it'),
+        Doc('name of the upstream in the host list'),
+    ]
+    upstream_address: Annotated[
+        Endpoint, Doc('IP address and port of the upstream')
     ]
-    upstream_address: Annotated[Endpoint, Doc('IP number and port of it')]
     slots: Annotated[
         int,
         Field(ge=1, le=4096),
-        Doc('requests it runs at a time until a manifest says otherwise'),
+        Doc('concurrent requests at the upstream until a manifest sets it'),
     ] = 8
     group: Annotated[
         str,
@@ -215,22 +225,22 @@
     rank: Annotated[
         int,
         Field(ge=-1, le=1023),
-        Doc('rank of the upstream in its group'),
+        Doc('rank of the upstream in its group, -1 for none'),
     ] = -1
     shutdown_ms: Annotated[
         int,
         Field(ge=0, le=3_600_000),
-        Doc('longest wait for the last answer at shutdown'),
+        Doc('longest wait for the last response at shutdown, in ms'),
     ] = 600_000
 
     @model_validator(mode='after')
-    def _group_and_rank_go_together(self) -> SidecarSettings:
+    def _check_group_and_rank(self) -> SidecarSettings:
         if bool(self.group) != (self.rank >= 0):
             raise ValueError('group: give group and rank together')
         return self
 
     @model_validator(mode='after')
-    def _peer_port_is_guarded(self) -> SidecarSettings:
+    def _check_peer_port_has_tls(self) -> SidecarSettings:
         if self.peer_tls is None and not is_loopback(self.listen.host):
             raise ValueError(
                 'listen: outside loopback give peer_certificate, '
@@ -240,71 +250,76 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SettingText:
-    """Describe one setting for ``--help`` and the docs."""
+class SettingDoc:
+    """Hold the name and help text of one setting."""
 
     name: str
     text: str
 
 
-def describe_settings(kind: type[ProcessSettings]) -> list[SettingText]:
-    """Return every setting of a kind of process, in order."""
+def describe_settings(
+    settings_class: type[ProcessSettings],
+) -> list[SettingDoc]:
+    """Return the name and help text of every setting, in order."""
     return [
-        SettingText(name, _describe(field))
-        for name, field in kind.model_fields.items()
+        SettingDoc(name, _describe(field))
+        for name, field in settings_class.model_fields.items()
     ]
 
 
 def _describe(field: FieldInfo) -> str:
-    docs = [one for one in field.metadata if isinstance(one, Doc)]
+    docs = [entry for entry in field.metadata if isinstance(entry, Doc)]
     text = docs[0].documentation
     if field.is_required():
         return f'{text} (required)'
     default = field.default
     if default is None:
         return f'{text} (none)'
-    shown = default.value if isinstance(default, Enum) else default
-    return f'{text} ({shown})'
+    default_text = default.value if isinstance(default, Enum) else default
+    return f'{text} ({default_text})'
 
 
 _Settings = TypeVar('_Settings', bound=ProcessSettings)
 
 
 def load_settings(
-    kind: type[_Settings],
-    given: dict[str, Any],
+    settings_class: type[_Settings],
+    raw_settings: dict[str, Any],
 ) -> _Settings:
-    """Return checked settings; what was not given takes its default.
+    """Return validated settings; None stands for the default.
 
-    Raises SettingError for the first setting that is wrong.
+    Raises SettingError for the first invalid setting.
     """
-    chosen = {name: raw for name, raw in given.items() if raw is not None}
+    present = {
+        name: raw for name, raw in raw_settings.items() if raw is not None
+    }
     try:
-        return kind.model_validate(chosen)
+        return settings_class.model_validate(present)
     except ValidationError as error:
-        raise _setting_error(error, chosen) from error
+        raise _setting_error(error, present) from error
 
 
 def _setting_error(
     error: ValidationError,
-    chosen: dict[str, Any],
+    present: dict[str, Any],
 ) -> SettingError:
     fault = error.errors()[0]
     message = fault['msg'].removeprefix('Value error, ')
     if fault['loc']:
         name = str(fault['loc'][0])
     else:
-        # A check over several settings begins its message with one's name.
+        # A validator of several settings starts its message with the name of
+        # one.
         name, _, message = message.partition(': ')
     flag = name.replace('_', '-')
     return SettingError(
         f'--{flag} ({ENVIRONMENT_PREFIX}{name.upper()})',
-        _shown(name, chosen),
+        _displayed(name, present),
         message,
     )
 
 
-def _shown(name: str, chosen: dict[str, Any]) -> object:
-    if name in {'admin_token', 'peer_key'} and name in chosen:
-        return f'({len(str(chosen[name]))} characters)'
-    return chosen.get(name, '(not given)')
+def _displayed(name: str, present: dict[str, Any]) -> object:
+    if name in {'admin_token', 'peer_key'} and name in present:
+        return f'({len(str(present[name]))} characters)'
+    return present.get(name, '(not given)')
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Check settings at start and name the wrong one."""
+"""Test the validation of settings when a process starts."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     describe_settings,
 )
 
-GOOD = {
+VALID = {
     'name': 'e',
     'listen': '127.0.0.1:0',
     'admin-listen': '127.0.0.1:0',
@@ -26,10 +26,10 @@
     'platform': '127.0.0.1:1',
 }
 
-WRONG = [
-    # flag, given, what the line says
-    ('listen', 'localhost:80', 'give an IP number and a port'),
-    ('listen', '127.0.0.1', 'give an IP number and a port'),
+INVALID = [
+    # flag, its argument, part of the error message
+    ('listen', 'localhost:80', 'give an IP address and a port'),
+    ('listen', '127.0.0.1', 'give an IP address and a port'),
     ('listen', '127.0.0.1:70000', 'give a port from 0 to 65535'),
     ('listen', '192.0.2.1:80', 'outside loopback give caller_certificate'),
     ('admin-listen', '192.0.2.1:80', 'administration port has no TLS'),
@@ -44,58 +44,60 @@
 ]
 
 
-@pytest.mark.parametrize(('flag', 'given', 'told'), WRONG)
-def test_wrong_setting_ends_with_one_line(
+@pytest.mark.parametrize(('flag', 'argument', 'message'), INVALID)
+def test_invalid_setting_is_reported_in_one_line(
     flag: str,
-    given: str,
-    told: str,
+    argument: str,
+    message: str,
 ) -> None:
-    found = _start({**GOOD, flag: given})
-    assert found.returncode == 2
-    (line,) = found.stderr.splitlines()
+    completed = _start_entry({**VALID, flag: argument})
+    assert completed.returncode == 2
+    (line,) = completed.stderr.splitlines()
     name = flag.upper().replace('-', '_')
     assert f'--{flag} (AMARANTHRAIL_{name})' in line
-    assert told in line
-    shown = '(5 characters)' if flag == 'admin-token' else repr(given)
-    assert shown in line
+    assert message in line
+    displayed = '(5 characters)' if flag == 'admin-token' else repr(argument)
+    assert displayed in line
 
 
-def test_missing_setting_is_named() -> None:
-    found = _start({})
-    assert found.returncode == 2
-    assert 'AMARANTHRAIL_NAME' in found.stderr
+def test_missing_setting_is_reported() -> None:
+    completed = _start_entry({})
+    assert completed.returncode == 2
+    assert 'AMARANTHRAIL_NAME' in completed.stderr
 
 
-def test_flags_go_before_the_environment() -> None:
-    found = _start({**GOOD, 'shards': 'flag'}, AMARANTHRAIL_SHARDS='variable')
-    assert "'flag'" in found.stderr
+def test_flags_override_the_environment() -> None:
+    completed = _start_entry(
+        {**VALID, 'shards': 'flag'}, AMARANTHRAIL_SHARDS='variable'
+    )
+    assert "'flag'" in completed.stderr
 
 
-def test_address_in_use_is_named() -> None:
-    with socket.create_server(('127.0.0.1', 0)) as taken:
-        address = f'127.0.0.1:{taken.getsockname()[1]}'
-        found = _start({**GOOD, 'listen': address})
-    assert found.returncode == 2
-    assert f'setting --listen is {address!r}' in found.stderr
+def test_address_in_use_is_reported() -> None:
+    with socket.create_server(('127.0.0.1', 0)) as listener:
+        address = f'127.0.0.1:{listener.getsockname()[1]}'
+        completed = _start_entry({**VALID, 'listen': address})
+    assert completed.returncode == 2
+    assert f'setting --listen is {address!r}' in completed.stderr
 
 
-@pytest.mark.parametrize('kind', [EntrySettings, SidecarSettings])
+@pytest.mark.parametrize('settings_class', [EntrySettings, SidecarSettings])
 def test_every_setting_is_documented(
-    kind: type[EntrySettings | SidecarSettings],
+    settings_class: type[EntrySettings | SidecarSettings],
 ) -> None:
     page = (Path(__file__).parent.parent / 'docs/OPERATIONS.md').read_text()
-    for setting in describe_settings(kind):
+    for setting in describe_settings(settings_class):
         assert f'`--{setting.name.replace("_", "-")}`' in page
         assert setting.text
 
 
-def _start(
+def _start_entry(
     flags: dict[str, str],
     **environment: str,
 ) -> subprocess.CompletedProcess[str]:
-    given = [part for name in flags for part in (f'--{name}', flags[name])]
+    arguments = [part for name in flags for part in (f'--{name}', flags[name])]
     return subprocess.run(
-        [sys.executable, '-m', 'amaranthrail.daemon', 'entry', *given],
+        [sys.executable, '-m', 'amaranthrail.daemon', 'entry', *arguments],
         env={**os.environ, **environment},
         capture_output=True,
         text=True,
