--- a/tests/build.py
+++ b/tests/build.py
@@ -18,15 +18,15 @@
 from standins.deployments import DEPLOYMENTS, make_manifest
 
 
-def manifest_text(mark: int = 0) -> bytes:
-    """Return a valid manifest that differs by its mark."""
+def manifest_text(variant: int = 0) -> bytes:
+    """Return a valid manifest; ``variant`` changes one of its limits."""
     manifest = make_manifest(DEPLOYMENTS['dvorak'])
-    manifest['limits'] = {'max_body_bytes': 1000 + mark}
+    manifest['limits'] = {'max_body_bytes': 1000 + variant}
     return json.dumps(manifest).encode()
 
 
-def change(name: str, base: int, mark: int = 0) -> ManifestChange:
-    text = manifest_text(mark)
+def change(name: str, base: int, variant: int = 0) -> ManifestChange:
+    text = manifest_text(variant)
     return ManifestChange(
         id=name,
         base=base,
@@ -81,14 +81,14 @@
     return Dispatch(**{**fields, **changes})
 
 
-def make_heartbeat(**told: Any) -> Heartbeat:
-    """Return a sidecar's heartbeat that tells a load."""
+def make_heartbeat(**load: Any) -> Heartbeat:
+    """Return a sidecar's heartbeat that reports ``load``."""
     return Heartbeat(
         **{
             'stamp': 0,
             'clock': 0.0,
             'manifest_version': 1,
             'drains_version': 0,
-            **told,
+            **load,
         }
     )
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Decode any bytes on the peer port to frames or to one error."""
+"""Test that any bytes decode to frames or raise FrameError."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     encode_frame,
 )
 
-FRAMES: tuple[type[Frame], ...] = typing.get_args(AnyFrame)
+FRAME_CLASSES: tuple[type[Frame], ...] = typing.get_args(AnyFrame)
 fuzz = settings(derandomize=True, max_examples=300, deadline=None)
 
 _scalars = (
@@ -46,13 +46,15 @@
 
 @st.composite
 def frames(draw: st.DrawFn) -> Frame:
-    frame: Frame = draw(st.from_type(draw(st.sampled_from(FRAMES))))
+    frame: Frame = draw(st.from_type(draw(st.sampled_from(FRAME_CLASSES))))
     return frame
 
 
 @fuzz
 @given(st.lists(frames(), max_size=4), st.integers(1, 64))
-def test_frames_survive_any_cut(sent: list[Frame], size: int) -> None:
+def test_frames_decode_from_chunks_of_any_size(
+    sent: list[Frame], size: int
+) -> None:
     stream = b''.join(encode_frame(frame) for frame in sent)
     decoder = FrameDecoder()
     received = [
@@ -65,20 +67,22 @@
 
 @fuzz
 @given(st.binary(max_size=400))
-def test_bytes_give_frames_or_frame_error(payload: bytes) -> None:
-    _feed(payload)
+def test_random_bytes_give_frames_or_frame_error(payload: bytes) -> None:
+    _decode(payload)
 
 
 @fuzz
 @given(
-    st.sampled_from([kind.__struct_config__.tag for kind in FRAMES]),
+    st.sampled_from(
+        [frame_class.__struct_config__.tag for frame_class in FRAME_CLASSES]
+    ),
     st.lists(_trees, max_size=16),
 )
-def test_wrong_fields_give_frames_or_frame_error(
+def test_invalid_fields_give_frames_or_frame_error(
     tag: str,
     fields: list[object],
 ) -> None:
-    _feed(msgpack.packb([tag, *fields]))
+    _decode(msgpack.packb([tag, *fields]))
 
 
 def test_oversized_frame_is_refused() -> None:
@@ -96,9 +100,9 @@
         FrameDecoder().feed(b'\x91' * 100_000 + b'\xc0')
 
 
-def test_dispatch_is_small() -> None:
-    # The control part of a dispatch must fit the budget of 6 KB/s a node at
-    # 2,700 requests a second over 330 nodes: 8.2 a second a node.
+def test_dispatch_size_is_within_the_budget() -> None:
+    # A dispatch without headers and body must fit the budget of 6 KB/s per node
+    # at 2,700 requests a second over 330 nodes, which is 8.2 a second per node.
     dispatch = Dispatch(
         request='0123456789ab-1234567',
         incarnation='0123456789ab',
@@ -116,7 +120,7 @@
     assert len(encode_frame(dispatch)) < 6000 * 330 / 2700
 
 
-def _feed(payload: bytes) -> None:
+def _decode(payload: bytes) -> None:
     try:
         decoded = FrameDecoder().feed(payload)
     except FrameError:
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Write log lines to readers that are slow or gone."""
+"""Test writing log lines to slow and to closed readers."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from amaranthrail.logs import BoundedWriter
 
 
-def test_lines_reach_a_reader() -> None:
+def test_lines_are_written() -> None:
     reader, writer = os.pipe()
     lines = BoundedWriter(writer)
     lines.write('one\n')
@@ -17,7 +17,7 @@
     os.close(writer)
 
 
-def test_a_slow_reader_costs_lines_and_no_time() -> None:
+def test_slow_reader_loses_lines_without_blocking() -> None:
     reader, writer = os.pipe()
     lines = BoundedWriter(writer)
     for _ in range(1000):
@@ -28,7 +28,7 @@
     os.close(writer)
 
 
-def test_a_reader_that_has_gone_ends_nothing() -> None:
+def test_closed_reader_raises_no_error() -> None:
     reader, writer = os.pipe()
     lines = BoundedWriter(writer)
     os.close(reader)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Write what was counted as Prometheus text."""
+"""Test metrics in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from amaranthrail.metrics import Metrics
 
 
-def test_counters_are_written_by_their_labels() -> None:
+def test_counters_are_written_per_label_values() -> None:
     metrics = Metrics()
     metrics.count('runs', ended='whole')
     metrics.count('runs', ended='whole', amount=2)
@@ -21,7 +21,7 @@
     assert 'amaranthrail_restarts_total 1.0' in lines
 
 
-def test_a_gauge_has_its_last_reading() -> None:
+def test_gauge_has_its_last_reading() -> None:
     metrics = Metrics()
     metrics.gauge('queued', 4)
     metrics.gauge('queued', 3)
@@ -36,5 +36,5 @@
     assert '# TYPE amaranthrail_call_seconds summary' in lines
     assert 'amaranthrail_call_seconds_count 100.0' in lines
     median = next(line for line in lines if 'quantile="0.5"' in line)
-    # The histogram keeps two digits.
+    # The histogram keeps two significant digits.
     assert round(float(median.split()[1]), 2) == pytest.approx(0.15, abs=0.01)
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -1,4 +1,4 @@
-"""Decode any log record to a record or to nothing."""
+"""Test that any bytes decode to a record or to None."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 )
 
 fuzz = settings(derandomize=True, max_examples=300, deadline=None)
-_json = st.recursive(
+_json_trees = st.recursive(
     st.none() | st.booleans() | st.integers() | st.text(max_size=10),
     lambda inner: (
         st.lists(inner, max_size=4)
@@ -27,7 +27,7 @@
     ),
     max_leaves=10,
 )
-_types = st.sampled_from(
+_record_types = st.sampled_from(
     ['manifest-change', 'manifest-snapshot', 'drain', 'filings', 'other'],
 )
 _facts = st.from_type(Intent) | st.from_type(Conclusion)
@@ -35,23 +35,25 @@
 
 @fuzz
 @given(st.binary(max_size=200))
-def test_bytes_give_a_record_or_none(text: bytes) -> None:
+def test_random_bytes_give_a_record_or_none(text: bytes) -> None:
     assert isinstance(decode_record(text), Record | None)
 
 
 @fuzz
-@given(_types, st.dictionaries(st.text(max_size=8), _json, max_size=5))
-def test_wrong_fields_give_a_record_or_none(
-    kind: str,
+@given(
+    _record_types, st.dictionaries(st.text(max_size=8), _json_trees, max_size=5)
+)
+def test_invalid_fields_give_a_record_or_none(
+    record_type: str,
     fields: dict[str, object],
 ) -> None:
-    text = json.dumps({**fields, 'type': kind, 'id': 'x'}).encode()
+    text = json.dumps({**fields, 'type': record_type, 'id': 'x'}).encode()
     assert isinstance(decode_record(text), Record | None)
 
 
 @fuzz
 @given(st.lists(_facts, max_size=4))
-def test_filings_survive(facts: list[Intent | Conclusion]) -> None:
+def test_fact_batch_round_trip(facts: list[Intent | Conclusion]) -> None:
     batch = FactBatch(id='one', facts=tuple(facts))
     assert decode_record(encode_record(batch)) == batch
 
@@ -61,7 +63,7 @@
     assert decode_record(b'[' * depth) is None
 
 
-def test_conclusion_keeps_bytes() -> None:
+def test_conclusion_body_round_trip() -> None:
     fact = Conclusion(
         key='k',
         intent='i',
--- a/tests/test_requestlog.py
+++ b/tests/test_requestlog.py
@@ -1,4 +1,4 @@
-"""Tell a request's story from lines of several processes."""
+"""Test the selection of log lines that explain a request."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 def line(event: str, process: str, second: int, **fields: str) -> str:
     stamp = f'2026-05-29T08:45:{second:02}Z'
-    known = {'event': event, 'process': process, 'timestamp': stamp}
-    return json.dumps({**known, **fields})
+    required = {'event': event, 'process': process, 'timestamp': stamp}
+    return json.dumps({**required, **fields})
 
 
 LINES = (
@@ -25,15 +25,15 @@
 )
 
 
-def test_a_story_has_the_request_and_what_was_believed() -> None:
-    story = explain_request('r1', parse_log_lines(LINES))
-    assert [(line.process, line.event) for line in story] == [
+def test_explanation_includes_changes_of_the_local_view() -> None:
+    explanation = explain_request('r1', parse_log_lines(LINES))
+    assert [(line.process, line.event) for line in explanation] == [
         ('e1', 'world: in force'),
         ('e1', 'call: sent again'),
         ('e1', 'call: answered'),
     ]
-    assert 'cause=cut' in story[1].formatted()
+    assert 'cause=cut' in explanation[1].formatted()
 
 
-def test_an_unknown_request_has_no_story() -> None:
+def test_unknown_request_has_no_lines() -> None:
     assert not explain_request('r9', parse_log_lines(LINES))
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""Speak TLS to callers and mutual TLS between peers."""
+"""Test TLS with callers and mutual TLS between peers."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 
 
 @pytest.fixture(scope='module')
-def secured(
+def tls_fleet(
     authority: trustme.CA,
     tmp_path_factory: pytest.TempPathFactory,
 ) -> Iterator[Fleet]:
     folder = tmp_path_factory.mktemp('certificates')
-    peers = trustme.CA()
-    peer_files = _write(folder, 'peer', peers)
-    caller_files = _write(folder, 'caller', authority)
+    peer_authority = trustme.CA()
+    peer_files = _write_files(folder, 'peer', peer_authority)
+    caller_files = _write_files(folder, 'caller', authority)
     peer_settings = {
         'peer_certificate': str(peer_files[0]),
         'peer_private_key': str(peer_files[1]),
@@ -59,7 +59,7 @@
         yield fleet
 
 
-def _write(folder: Path, name: str, authority: trustme.CA) -> list[Path]:
+def _write_files(folder: Path, name: str, authority: trustme.CA) -> list[Path]:
     issued = authority.issue_cert('127.0.0.1')
     paths = [folder / f'{name}-{part}.pem' for part in ('cert', 'key', 'ca')]
     issued.cert_chain_pems[0].write_to_path(paths[0])
@@ -78,39 +78,39 @@
     return tuple((name.lower(), text) for name, text in auth(fleet).items())
 
 
-def test_caller_is_served_over_tls(
-    secured: Fleet,
+def test_caller_gets_a_response_over_tls(
+    tls_fleet: Fleet,
     authority: trustme.CA,
 ) -> None:
-    client = _client(secured, authority)
-    headers = _headers(secured)
+    client = _client(tls_fleet, authority)
+    headers = _headers(tls_fleet)
 
-    async def ask() -> int:
+    async def call() -> int:
         target = '/sportello/orders/1'
         return (await client.call('GET', target, headers)).status
 
-    assert run(ask) == 200
+    assert run(call) == 200
 
 
-def test_plain_text_is_not_served(secured: Fleet) -> None:
+def test_plain_http_is_refused(tls_fleet: Fleet) -> None:
     with pytest.raises(OSError, match=r'.'):
-        http_call(secured.entries[0].url, 'GET', '/healthz', timeout=5)
+        http_call(tls_fleet.entries[0].url, 'GET', '/healthz', timeout=5)
 
 
-def test_peer_without_certificate_gets_no_challenge(secured: Fleet) -> None:
-    received = exchange_at(secured.upstreams[0].sidecar_address, b'\x00' * 64)
+def test_peer_without_certificate_gets_no_challenge(tls_fleet: Fleet) -> None:
+    received = exchange_at(tls_fleet.upstreams[0].sidecar_address, b'\x00' * 64)
     assert b'challenge' not in received
 
 
-def test_stream_over_tls_is_whole_at_shutdown(
-    secured: Fleet,
+def test_stream_over_tls_is_complete_despite_shutdown(
+    tls_fleet: Fleet,
     authority: trustme.CA,
 ) -> None:
-    leaving = secured.entries[0]
-    client = _client(secured, authority)
-    headers = _headers(secured)
-    order = {
-        'model': secured.deployment.model,
+    entry = tls_fleet.entries[0]
+    client = _client(tls_fleet, authority)
+    headers = _headers(tls_fleet)
+    completion = {
+        'model': tls_fleet.deployment.model,
         'prompt': 'whole',
         'max_tokens': 50,
         'stream': True,
@@ -118,18 +118,19 @@
 
     async def stream() -> list[bytes]:
         received = []
-        payload = json.dumps(order).encode()
+        payload = json.dumps(completion).encode()
         async with (
             client.exchange('POST', PATH, headers, payload) as exchange,
             aclosing(exchange.parts()) as parts,
         ):
             async for part in parts:
-                # Leaving begins with the first part and may be told again.
-                leaving.child.send(signal.SIGTERM)
+                # Shutdown starts with the first part; the signal may be
+                # repeated.
+                entry.child.send(signal.SIGTERM)
                 received.append(part)
         return received
 
     received = run(stream)
     assert len(received) > 1
     assert b''.join(received).endswith(LAST_EVENT)
-    assert leaving.child.wait(10) == 0
+    assert entry.child.wait(10) == 0
