--- a/src/amaranthrail/configuration.py
+++ b/src/amaranthrail/configuration.py
@@ -98,7 +98,7 @@
     def last_stored_at(self) -> int:
         """Return when the log stored its newest copy of the manifest in force.
 
-        In milliseconds of the log's clock, 0 if none has been read.
+        In milliseconds of the log's wall clock, 0 if no copy has been read.
         """
         return self._last_stored_at
 
@@ -124,10 +124,10 @@
         text: bytes,
         drains: tuple[tuple[str, int, bool], ...],
     ) -> bool:
-        """Apply what is newer in a peer's configuration, if anything.
+        """Apply what is newer in a peer's configuration.
 
-        Returns whether anything was.
-        Raises ManifestError where a newer manifest is invalid.
+        Returns whether anything was newer. Raises ManifestError if a newer
+        manifest is invalid.
         """
         changed = self._adopt_drains(drains)
         if version > self.version:
--- a/src/amaranthrail/consumer.py
+++ b/src/amaranthrail/consumer.py
@@ -61,16 +61,16 @@
 
     async def run(self) -> None:
         """Read the stream until cancelled, with backoff after a failed read."""
-        backoff = _BACKOFF_MS
+        backoff_ms = _BACKOFF_MS
         while True:
             try:
                 await self.read_once(POLL_WAIT_MS)
             except LogUnavailableError:
                 self._reachable = False
-                await sleep(backoff * random.uniform(0.5, 1))
-                backoff = min(_MAX_BACKOFF_MS, 2 * backoff)
+                await sleep(backoff_ms * random.uniform(0.5, 1))
+                backoff_ms = min(_MAX_BACKOFF_MS, 2 * backoff_ms)
             else:
-                backoff = _BACKOFF_MS
+                backoff_ms = _BACKOFF_MS
 
     async def read_once(self, wait_ms: int) -> None:
         """Read and apply one batch of records. Raises LogUnavailableError.
--- a/src/amaranthrail/frames.py
+++ b/src/amaranthrail/frames.py
@@ -82,8 +82,9 @@
 
     ``incarnation`` is the one that the sidecar must have. ``clock`` is the
     sidecar's clock as of its latest heartbeat; ``left_ms`` the time left until
-    the caller's deadline. ``intent`` is the id of the attempt of a
-    non-idempotent request; it is empty for an idempotent one.
+    the caller's deadline; ``cost_ms`` the expected time in a slot. ``intent``
+    is the id of the attempt of a non-idempotent request; it is empty for an
+    idempotent one.
     """
 
     request: str
@@ -148,7 +149,11 @@
 
 
 class Ack(Frame, frozen=True, tag='ack'):
-    """Acknowledge received body bytes, which opens the sender's window."""
+    """Acknowledge received body bytes, which opens the sender's window.
+
+    ``received`` is the total for the response. After ``done`` the sidecar may
+    forget the request.
+    """
 
     request: str
     received: int
@@ -156,7 +161,10 @@
 
 
 class Resume(Frame, frozen=True, tag='resume'):
-    """Resume a response on a new connection after ``received`` body bytes."""
+    """Resume a response on a new connection after ``received`` body bytes.
+
+    ``has_head`` is true if its status and headers have been received.
+    """
 
     request: str
     received: int
--- a/src/amaranthrail/orders.py
+++ b/src/amaranthrail/orders.py
@@ -51,7 +51,10 @@
 
 
 class Arm(Order, frozen=True, tag='arm'):
-    """Arm a map for ``from_step``; the rank holds there until confirmed."""
+    """Arm a map for ``from_step``; the rank holds there until confirmed.
+
+    ``ranks`` is the map: the rank of each expert.
+    """
 
     version: int
     from_step: int
--- a/src/amaranthrail/outcomes.py
+++ b/src/amaranthrail/outcomes.py
@@ -78,8 +78,8 @@
     def status(self) -> int:
         """Return the HTTP status for the caller.
 
-        It depends on the reason; for the others it is 503 if the request did
-        not run and 504 if it may have run.
+        A reason without a status of its own gives 503 if the request did not
+        run, else 504.
         """
         fallback = _STATUS_UNKNOWN
         if self.outcome is Outcome.NOT_RUN:
--- a/src/amaranthrail/ports.py
+++ b/src/amaranthrail/ports.py
@@ -88,9 +88,11 @@
 class EngineState:
     """Report a rank engine's map in use, its armed map and measured loads.
 
-    ``version`` and ``ranks`` describe the map in use, ``armed`` and
-    ``armed_ranks`` the armed one. ``loads`` has one number per expert, 0 for
-    those that this rank does not hold.
+    ``version`` and ``ranks``, the rank of each expert, are the map in use;
+    ``armed`` and ``armed_ranks`` are the armed map, 0 and empty for none.
+    ``step`` is the current step. ``joining`` is true after a restart, until
+    the engine has the group's map. ``loads`` has one number per expert, 0 for
+    those that this rank does not hold; ``speed`` is relative to 1.
     """
 
     step: int
--- a/src/amaranthrail/settings.py
+++ b/src/amaranthrail/settings.py
@@ -84,7 +84,7 @@
     ] = 500
     silence_ms: Annotated[
         IntervalMs,
-        Doc('time without a frame until a peer is disconnected, in ms'),
+        Doc('time without data until a peer is disconnected, in ms'),
     ] = 2000
     log_format: Annotated[LogFormat, Doc('json or console')] = LogFormat.JSON
     log_level: Annotated[
