--- a/src/amaranthrail/entry/conclusions.py
+++ b/src/amaranthrail/entry/conclusions.py
@@ -43,7 +43,7 @@
                 key=intent.key,
                 intent=intent.id,
                 state=AttemptState.RAN,
-                reason=Reason.ANSWER_TOO_LARGE.value if too_large else '',
+                reason=Reason.RESPONSE_TOO_LARGE.value if too_large else '',
                 status=answer.status,
                 headers=answer.headers,
                 body=b'' if too_large else answer.body,
@@ -88,7 +88,7 @@
         return not_run(Reason.VOIDED, 'voided before its start')
     if filing.state is AttemptState.RAN and conclusion is not None:
         if conclusion.reason:
-            return Refusal(Outcome.RAN, Reason.ANSWER_TOO_LARGE, 'not kept')
+            return Refusal(Outcome.RAN, Reason.RESPONSE_TOO_LARGE, 'not kept')
         return HttpAnswer(
             conclusion.status,
             conclusion.headers,
--- a/src/amaranthrail/entry/forward.py
+++ b/src/amaranthrail/entry/forward.py
@@ -30,7 +30,7 @@
     ),
 )
 _FINAL_REASONS = frozenset(
-    (Reason.EXPIRED, Reason.ANSWER_TOO_LARGE, Reason.CANCELLED),
+    (Reason.EXPIRED, Reason.RESPONSE_TOO_LARGE, Reason.CANCELLED),
 )
 
 
--- a/src/amaranthrail/outcomes.py
+++ b/src/amaranthrail/outcomes.py
@@ -43,7 +43,7 @@
     PEER_GONE = 'peer-gone'
     CANCELLED = 'cancelled'
     STILL_RUNNING = 'still-running'
-    ANSWER_TOO_LARGE = 'answer-too-large'
+    RESPONSE_TOO_LARGE = 'answer-too-large'
 
 
 _STATUS_BY_REASON = MappingProxyType(
--- a/src/amaranthrail/sidecar/worker.py
+++ b/src/amaranthrail/sidecar/worker.py
@@ -125,7 +125,7 @@
                     detail = f'over {MAX_KEYED_BYTES} bytes'
                     self._fail(
                         run,
-                        unknown_outcome(Reason.ANSWER_TOO_LARGE, detail),
+                        unknown_outcome(Reason.RESPONSE_TOO_LARGE, detail),
                     )
                     return
                 await run.wait_window()
