--- a/src/amaranthrail/configpulls.py
+++ b/src/amaranthrail/configpulls.py
@@ -1,26 +1,30 @@
-"""Ask for a newer configuration at one peer, not at all that have it."""
+"""Limit requests for a newer configuration to one peer at a time."""
 
 from __future__ import annotations
 
 from .clock import Clock
 from .configuration import Configuration
 
-#: After this long without the configuration, another peer is asked.
+#: Time after which another peer may be asked for the same versions, in ms.
 PULL_RETRY_MS = 500.0
 
 
 class PullLimiter:
-    """Remember what has been asked for last."""
+    """Track the latest request for a configuration."""
 
     def __init__(self, clock: Clock, configuration: Configuration) -> None:
-        """Take the configuration that is to be kept up to date."""
+        """Initialize with the configuration to compare peers' versions with."""
         self._clock = clock
         self._configuration = configuration
         self._asked = (0, 0)
         self._asked_at = clock.now()
 
     def should_pull(self, version: int, drains_version: int) -> bool:
-        """Tell whether to ask a peer that has these versions, and note it."""
+        """Return whether to request these versions from the peer that has them.
+
+        True is recorded as a request; the same or lower versions are then not
+        requested again for PULL_RETRY_MS.
+        """
         ahead = version > self._configuration.version
         if not ahead and drains_version <= self._configuration.drains_version:
             return False
--- a/src/amaranthrail/entry/conclusions.py
+++ b/src/amaranthrail/entry/conclusions.py
@@ -48,7 +48,7 @@
                 key=intent.key,
                 intent=intent.id,
                 state=AttemptState.RAN,
-                reason=Reason.ANSWER_TOO_LARGE.value if is_too_large else '',
+                reason=Reason.RESPONSE_TOO_LARGE.value if is_too_large else '',
                 status=response.status,
                 headers=response.headers,
                 body=b'' if is_too_large else response.body,
@@ -93,7 +93,9 @@
         return not_run(Reason.VOIDED, 'voided before it started')
     if record.state is AttemptState.RAN and conclusion is not None:
         if conclusion.reason:
-            return Refusal(Outcome.RAN, Reason.ANSWER_TOO_LARGE, 'not recorded')
+            return Refusal(
+                Outcome.RAN, Reason.RESPONSE_TOO_LARGE, 'not recorded'
+            )
         return HttpAnswer(
             conclusion.status,
             conclusion.headers,
--- a/src/amaranthrail/entry/forward.py
+++ b/src/amaranthrail/entry/forward.py
@@ -32,7 +32,7 @@
     ),
 )
 _FINAL_REASONS = frozenset(
-    (Reason.EXPIRED, Reason.ANSWER_TOO_LARGE, Reason.CANCELLED),
+    (Reason.EXPIRED, Reason.RESPONSE_TOO_LARGE, Reason.CANCELLED),
 )
 
 
--- a/src/amaranthrail/entry/keyedrequests.py
+++ b/src/amaranthrail/entry/keyedrequests.py
@@ -171,7 +171,9 @@
             job.call_result = await self._settlement.settle(record.intent)
         self._finish_job(key, job)
 
-    async def _run_job(self, key: IdempotencyKey, call: Call, job: _Job) -> None:
+    async def _run_job(
+        self, key: IdempotencyKey, call: Call, job: _Job
+    ) -> None:
         job.call_result = await self._run_attempts(key, call, job.digest)
         self._finish_job(key, job)
 
