--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -149,7 +149,7 @@
                 view.name,
                 upstream.record.beat,
                 view.own_calls,
-                round(view.others, 1),
+                round(view.other_calls, 1),
                 view.avoided,
             ),
         )
--- a/src/amaranthrail/policy/selection.py
+++ b/src/amaranthrail/policy/selection.py
@@ -26,21 +26,21 @@
 class UpstreamView(msgspec.Struct, frozen=True):
     """Describe one upstream that could take a call.
 
-    ``own_calls`` counts this entry's calls in flight there, ``others`` is the
-    estimate of all other work, and ``avoided`` says that it failed lately.
+    ``own_calls`` counts this entry's calls in flight there, ``other_calls`` is
+    the estimate of all other work, and ``avoided`` says that it failed lately.
     """
 
     name: str
     slots: int
     own_calls: int
-    others: float = 0
+    other_calls: float = 0
     near: bool = False
     avoided: bool = False
 
     @property
     def load_per_slot(self) -> float:
         """Return the work per slot once the call has been added."""
-        return (self.own_calls + self.others + 1) / max(1, self.slots)
+        return (self.own_calls + self.other_calls + 1) / max(1, self.slots)
 
     @property
     def cost(self) -> float:
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -65,7 +65,7 @@
 
 
 def test_work_of_other_entries_counts() -> None:
-    busy = UpstreamView('busy', 6, own_calls=0, others=3)
+    busy = UpstreamView('busy', 6, own_calls=0, other_calls=3)
     free = UpstreamView('free', 6, own_calls=2)
     chosen = select_upstream([busy, free], random.Random(1))
     assert chosen == free
--- a/tests/test_shared_loads.py
+++ b/tests/test_shared_loads.py
@@ -64,7 +64,9 @@
         calls = own[stream % ENTRIES]
         views = [UpstreamView(str(one), SLOTS, calls[one]) for one in calls]
         told = [
-            replace(view, others=sum(each[one] for each in own) - calls[one])
+            replace(
+                view, other_calls=sum(each[one] for each in own) - calls[one]
+            )
             for one, view in enumerate(views)
         ]
         chosen = select_upstream(told, source)
@@ -90,6 +92,6 @@
     )
     upstream = Upstream(record, Clock(time))
     upstream.note_load(ReportedLoad(running=5, waiting=2, slots=SLOTS))
-    assert upstream.view(DomainName('a'), 1).others == pytest.approx(7)
+    assert upstream.view(DomainName('a'), 1).other_calls == pytest.approx(7)
     time.now_s += 10
-    assert upstream.view(DomainName('a'), 1).others == pytest.approx(1)
+    assert upstream.view(DomainName('a'), 1).other_calls == pytest.approx(1)
