--- a/src/amaranthrail/direct/upstreams.py
+++ b/src/amaranthrail/direct/upstreams.py
@@ -108,7 +108,7 @@
             self._record.slots,
             self._in_flight,
             max(others, told),
-            near=self._record.domain == domain,
+            is_same_domain=self._record.domain == domain,
             avoided=self._health.is_ejected(now),
         )
 
--- a/src/amaranthrail/policy/selection.py
+++ b/src/amaranthrail/policy/selection.py
@@ -34,7 +34,7 @@
     slots: int
     own_calls: int
     other_calls: float = 0
-    near: bool = False
+    is_same_domain: bool = False
     avoided: bool = False
 
     @property
@@ -45,7 +45,7 @@
     @property
     def cost(self) -> float:
         """Return what is least at the upstream that answers soonest."""
-        return self.load_per_slot - NEAR_BONUS * self.near
+        return self.load_per_slot - NEAR_BONUS * self.is_same_domain
 
 
 def decay_others(others: float, age_ms: float) -> float:
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -78,7 +78,7 @@
 
 def test_an_equal_upstream_nearby_goes_first() -> None:
     far = UpstreamView('far', 6, own_calls=1)
-    near = UpstreamView('near', 6, own_calls=1, near=True)
+    near = UpstreamView('near', 6, own_calls=1, is_same_domain=True)
     source = random.Random(1)
     assert {select_upstream([far, near], source) for _ in range(20)} == {near}
 
