--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -150,7 +150,7 @@
                 upstream.record.beat,
                 view.own_calls,
                 round(view.other_calls, 1),
-                view.avoided,
+                view.is_ejected,
             ),
         )
         return upstream
--- a/src/amaranthrail/direct/upstreams.py
+++ b/src/amaranthrail/direct/upstreams.py
@@ -109,7 +109,7 @@
             self._in_flight,
             max(others, told),
             is_same_domain=self._record.domain == domain,
-            avoided=self._health.is_ejected(now),
+            is_ejected=self._health.is_ejected(now),
         )
 
 
--- a/src/amaranthrail/policy/selection.py
+++ b/src/amaranthrail/policy/selection.py
@@ -27,7 +27,8 @@
     """Describe one upstream that could take a call.
 
     ``own_calls`` counts this entry's calls in flight there, ``other_calls`` is
-    the estimate of all other work, and ``avoided`` says that it failed lately.
+    the estimate of all other work, and ``is_ejected`` says that it failed
+    lately.
     """
 
     name: str
@@ -35,7 +36,7 @@
     own_calls: int
     other_calls: float = 0
     is_same_domain: bool = False
-    avoided: bool = False
+    is_ejected: bool = False
 
     @property
     def load_per_slot(self) -> float:
@@ -64,7 +65,7 @@
     open_views = [
         view for view in views if view.load_per_slot <= MAX_LOAD_PER_SLOT
     ]
-    sound = [view for view in open_views if not view.avoided]
+    sound = [view for view in open_views if not view.is_ejected]
     candidates = sound or open_views
     if not candidates:
         return None
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -84,7 +84,7 @@
 
 
 def test_one_that_failed_lately_is_a_last_resort() -> None:
-    failed = UpstreamView('failed', 6, own_calls=0, avoided=True)
+    failed = UpstreamView('failed', 6, own_calls=0, is_ejected=True)
     busy = UpstreamView('busy', 6, own_calls=5)
     source = random.Random(1)
     assert select_upstream([failed, busy], source) == busy
