--- a/src/amaranthrail/entry/settlement.py
+++ b/src/amaranthrail/entry/settlement.py
@@ -6,7 +6,7 @@
 from ..clock import MS_PER_SECOND, move_on_after, sleep
 from ..logs import part_logger
 from ..outcomes import Outcome, Reason, not_run, unknown
-from ..policy.balancing import rendezvous
+from ..policy.balancing import rendezvous_score
 from ..records import FilingState, Intent
 from ..types import FilingKey
 from .conclusions import Answer, Conclusions, recorded_answer
@@ -40,7 +40,7 @@
     def is_overdue(self, filing: Filing) -> bool:
         """Tell whether nobody has concluded an open key in time."""
         # Entries take turns, so that one settles while the others look on.
-        turn = rendezvous(filing.intent.id, self._runtime.incarnation)
+        turn = rendezvous_score(filing.intent.id, self._runtime.incarnation)
         grace = self._core.settings.lost_grace_ms + turn % _SPREAD_MS
         return self._runtime.clock.wall() > filing.intent.deadline + grace
 
--- a/src/amaranthrail/entry/upkeep.py
+++ b/src/amaranthrail/entry/upkeep.py
@@ -8,7 +8,7 @@
 from ..exceptions import LogUnavailableError
 from ..follower import Follower
 from ..logs import part_logger
-from ..policy.balancing import rendezvous
+from ..policy.balancing import rendezvous_score
 from ..ports import LogPort
 from ..records import (
     CONTROL_STREAM,
@@ -94,6 +94,6 @@
         retention = self._control.retention_ms
         if retention <= 0:
             return False
-        turn = rendezvous(subject, self._runtime.incarnation) % 100 / 100
+        turn = rendezvous_score(subject, self._runtime.incarnation) % 100 / 100
         bound = retention * (_RENEW_SHARE + _TURN_SHARE * turn)
         return self._runtime.clock.wall() - recorded_at > bound
--- a/src/amaranthrail/policy/balancing.py
+++ b/src/amaranthrail/policy/balancing.py
@@ -80,7 +80,7 @@
         ]
         if not fitting:
             return spread(candidates, prefix)
-        return max(fitting, key=lambda one: rendezvous(prefix, one.name))
+        return max(fitting, key=lambda one: rendezvous_score(prefix, one.name))
 
     return pick
 
@@ -89,6 +89,6 @@
     return candidate.wait_ms, candidate.busy_ms
 
 
-def rendezvous(subject: str, node: str) -> int:
+def rendezvous_score(subject: str, node: str) -> int:
     """Return the rank of a node for a subject; the highest is its home."""
     return xxhash.xxh3_64_intdigest(f'{subject}\0{node}'.encode())
--- a/src/amaranthrail/policy/subset.py
+++ b/src/amaranthrail/policy/subset.py
@@ -7,7 +7,7 @@
 from functools import partial
 
 from ..ports import HostRecord
-from .balancing import rendezvous
+from .balancing import rendezvous_score
 
 
 def choose_subset(
@@ -23,7 +23,7 @@
     by_domain: dict[str, list[HostRecord]] = {}
     for host in hosts:
         by_domain.setdefault(host.domain, []).append(host)
-    domains = sorted(by_domain, key=partial(rendezvous, entry))
+    domains = sorted(by_domain, key=partial(rendezvous_score, entry))
     columns = [_ranked(entry, by_domain[domain]) for domain in domains]
     spread = itertools.chain.from_iterable(itertools.zip_longest(*columns))
     return list(itertools.islice(filter(None, spread), size))
@@ -31,6 +31,6 @@
 
 def _ranked(entry: str, hosts: list[HostRecord]) -> list[HostRecord]:
     def rank(host: HostRecord) -> int:
-        return rendezvous(entry, host.upstream)
+        return rendezvous_score(entry, host.upstream)
 
     return sorted(hosts, key=rank, reverse=True)
