--- a/src/amaranthrail/entry/load.py
+++ b/src/amaranthrail/entry/load.py
@@ -52,7 +52,7 @@
             self._slots,
         )
         wait_ms = expected_wait(load, long_share, long=long)
-        return Candidate(self._name, wait_ms, load.busy)
+        return Candidate(self._name, wait_ms, load.backlog_ms)
 
     def _hear(self, told: Work, interval_ms: float, *, long: bool) -> None:
         known = self._others[long]
--- a/src/amaranthrail/policy/loads.py
+++ b/src/amaranthrail/policy/loads.py
@@ -57,7 +57,7 @@
     slots: int
 
     @property
-    def busy(self) -> float:
+    def backlog_ms(self) -> float:
         """Return the expected time to finish all work, over all slots."""
         total = self.short.cost_ms + self.long.cost_ms
         return total / max(1, self.slots)
