--- a/src/amaranthrail/entry/load.py
+++ b/src/amaranthrail/entry/load.py
@@ -8,7 +8,7 @@
     NO_WORK,
     ReplicaLoad,
     Work,
-    expected_wait,
+    expected_wait_ms,
     report_weight,
 )
 
@@ -51,7 +51,7 @@
             self._others[True].add(self._own[True]),
             self._slots,
         )
-        wait_ms = expected_wait(load, long_share, long=long)
+        wait_ms = expected_wait_ms(load, long_share, long=long)
         return Candidate(self._name, wait_ms, load.backlog_ms)
 
     def _hear(self, told: Work, interval_ms: float, *, long: bool) -> None:
--- a/src/amaranthrail/policy/loads.py
+++ b/src/amaranthrail/policy/loads.py
@@ -75,7 +75,9 @@
     return min(1, max(MIN_REPORT_WEIGHT, drain_ms / max(1, interval_ms)))
 
 
-def expected_wait(load: ReplicaLoad, long_share: float, *, long: bool) -> float:
+def expected_wait_ms(
+    load: ReplicaLoad, long_share: float, *, long: bool
+) -> float:
     """Return the milliseconds until a slot would be free for new work.
 
     Short work passes waiting long work, so it waits only for the slots that
