--- a/src/amaranthrail/policy/membership.py
+++ b/src/amaranthrail/policy/membership.py
@@ -14,7 +14,7 @@
 
 #: Time without a report after which an entry counts as gone, in ms; three
 #: reports of an entry without calls.
-LIFE_MS = 900.0
+LIVENESS_TIMEOUT_MS = 900.0
 #: Time after its start in which an entry does not lead, in ms: it would have
 #: heard one report of each other entry. A shorter time is safe, as it gives way
 #: to one that has run longer.
@@ -51,7 +51,7 @@
     own: Member,
     others: Iterable[Member],
     now: float,
-    life_ms: float = LIFE_MS,
+    life_ms: float = LIVENESS_TIMEOUT_MS,
 ) -> bool:
     """Tell whether an entry is the one of those alive that has run longest.
 
@@ -86,4 +86,4 @@
     less often the more entries there are.
     """
     rounds = -(-max(1, entries - 1) // receivers)
-    return LIFE_MS * rounds
+    return LIVENESS_TIMEOUT_MS * rounds
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -7,7 +7,7 @@
 from amaranthrail.clock import Clock
 from amaranthrail.direct.members import MEMORY_MS, Members
 from amaranthrail.policy.membership import (
-    LIFE_MS,
+    LIVENESS_TIMEOUT_MS,
     SETTLE_MS,
     Member,
     expected_life_ms,
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize('leaving', [True, False])
 def test_the_lead_passes_on_once_the_leader_goes(*, leaving: bool) -> None:
     own = Member('b', 5000, 0)
-    silent_ms = 0 if leaving else LIFE_MS
+    silent_ms = 0 if leaving else LIVENESS_TIMEOUT_MS
     leader = Member('a', 4000, SETTLED - silent_ms, int(leaving))
     assert is_leader(own, [leader], SETTLED)
 
@@ -76,7 +76,7 @@
 def test_an_entry_that_leaves_does_not_lead() -> None:
     time = FakeTime()
     members = new_members(time)
-    time.pass_ms(LIFE_MS)
+    time.pass_ms(LIVENESS_TIMEOUT_MS)
     assert members.check_lead()
     members.leave()
     assert not members.check_lead()
@@ -86,9 +86,9 @@
     assert (
         expected_life_ms(1, 24)
         == expected_life_ms(25, 24)
-        == pytest.approx(LIFE_MS)
+        == pytest.approx(LIVENESS_TIMEOUT_MS)
     )
-    assert expected_life_ms(330, 24) == pytest.approx(14 * LIFE_MS)
+    assert expected_life_ms(330, 24) == pytest.approx(14 * LIVENESS_TIMEOUT_MS)
 
 
 def test_an_entry_out_of_reach_still_counts_for_the_bound_on_repeats() -> None:
