--- a/src/amaranthrail/policy/membership.py
+++ b/src/amaranthrail/policy/membership.py
@@ -18,7 +18,7 @@
 #: Time after its start in which an entry does not lead, in ms: it would have
 #: heard one report of each other entry. A shorter time is safe, as it gives way
 #: to one that has run longer.
-SETTLE_MS = 400.0
+LEADER_DELAY_MS = 400.0
 
 
 class Member(msgspec.Struct, frozen=True):
@@ -58,7 +58,7 @@
     ``own.heard_at`` is when it began to listen: it waits until it would have
     heard the others.
     """
-    if own.leaving or now - own.heard_at < SETTLE_MS:
+    if own.leaving or now - own.heard_at < LEADER_DELAY_MS:
         return False
     return all(
         (own.started_at, own.host) < (one.started_at, one.host)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -7,8 +7,8 @@
 from amaranthrail.clock import Clock
 from amaranthrail.direct.members import MEMORY_MS, Members
 from amaranthrail.policy.membership import (
+    LEADER_DELAY_MS,
     LIVENESS_TIMEOUT_MS,
-    SETTLE_MS,
     Member,
     expected_life_ms,
     is_leader,
@@ -69,8 +69,8 @@
 
 def test_an_entry_waits_to_hear_the_others_before_it_leads() -> None:
     own = Member('a', 5000, SETTLED)
-    assert not is_leader(own, [], SETTLED + SETTLE_MS - 1)
-    assert is_leader(own, [], SETTLED + SETTLE_MS)
+    assert not is_leader(own, [], SETTLED + LEADER_DELAY_MS - 1)
+    assert is_leader(own, [], SETTLED + LEADER_DELAY_MS)
 
 
 def test_an_entry_that_leaves_does_not_lead() -> None:
