--- a/src/amaranthrail/direct/members.py
+++ b/src/amaranthrail/direct/members.py
@@ -11,8 +11,8 @@
 from ..policy.membership import (
     Member,
     expected_life_ms,
-    is_alive,
     is_leader,
+    is_live,
     runs_longer_than,
 )
 
@@ -118,7 +118,7 @@
         """Return the other entries that were heard lately."""
         now = self._clock.now()
         life = self._life_ms()
-        return [one for one in self._heard.values() if is_alive(one, now, life)]
+        return [one for one in self._heard.values() if is_live(one, now, life)]
 
     def _life_ms(self) -> float:
         return expected_life_ms(self.count, MAX_RECEIVERS)
--- a/src/amaranthrail/policy/membership.py
+++ b/src/amaranthrail/policy/membership.py
@@ -42,7 +42,7 @@
         return self.leaving_at > 0
 
 
-def is_alive(member: Member, now: float, life_ms: float) -> bool:
+def is_live(member: Member, now: float, life_ms: float) -> bool:
     """Tell whether an entry was heard lately."""
     return now - member.heard_at < life_ms
 
@@ -63,7 +63,7 @@
     return all(
         (own.started_at, own.host) < (one.started_at, one.host)
         for one in others
-        if is_alive(one, now, life_ms) and not one.leaving
+        if is_live(one, now, life_ms) and not one.leaving
     )
 
 
