--- a/src/amaranthrail/direct/members.py
+++ b/src/amaranthrail/direct/members.py
@@ -10,9 +10,9 @@
 from ..logs import part_logger
 from ..policy.membership import (
     Member,
-    expected_life_ms,
     is_leader,
     is_live,
+    liveness_timeout_ms,
     runs_longer_than,
 )
 
@@ -121,7 +121,7 @@
         return [one for one in self._heard.values() if is_live(one, now, life)]
 
     def _life_ms(self) -> float:
-        return expected_life_ms(self.count, MAX_RECEIVERS)
+        return liveness_timeout_ms(self.count, MAX_RECEIVERS)
 
     def _forget_old(self) -> None:
         oldest = self._clock.now() - MEMORY_MS
--- a/src/amaranthrail/policy/membership.py
+++ b/src/amaranthrail/policy/membership.py
@@ -79,7 +79,7 @@
     )
 
 
-def expected_life_ms(entries: int, receivers: int) -> float:
+def liveness_timeout_ms(entries: int, receivers: int) -> float:
     """Return how long an entry may be silent.
 
     Each report goes to some receivers of all entries, so a single pair talks
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -10,8 +10,8 @@
     LEADER_DELAY_MS,
     LIVENESS_TIMEOUT_MS,
     Member,
-    expected_life_ms,
     is_leader,
+    liveness_timeout_ms,
     runs_longer_than,
 )
 
@@ -84,11 +84,13 @@
 
 def test_reports_come_less_often_the_more_entries_there_are() -> None:
     assert (
-        expected_life_ms(1, 24)
-        == expected_life_ms(25, 24)
+        liveness_timeout_ms(1, 24)
+        == liveness_timeout_ms(25, 24)
         == pytest.approx(LIVENESS_TIMEOUT_MS)
     )
-    assert expected_life_ms(330, 24) == pytest.approx(14 * LIVENESS_TIMEOUT_MS)
+    assert liveness_timeout_ms(330, 24) == pytest.approx(
+        14 * LIVENESS_TIMEOUT_MS
+    )
 
 
 def test_an_entry_out_of_reach_still_counts_for_the_bound_on_repeats() -> None:
