--- a/src/amaranthrail/direct/members.py
+++ b/src/amaranthrail/direct/members.py
@@ -68,7 +68,7 @@
     @property
     def long_lost(self) -> frozenset[str]:
         """Return the listed hosts that have not been heard for long."""
-        if self._clock.now() - self._own.heard_at < MEMORY_MS:
+        if self._clock.now() - self._own.last_seen_at < MEMORY_MS:
             return frozenset()
         self._forget_old()
         reached = frozenset(self._heard) | self._named
@@ -126,5 +126,5 @@
     def _forget_old(self) -> None:
         oldest = self._clock.now() - MEMORY_MS
         for host, member in list(self._heard.items()):
-            if member.heard_at < oldest:
+            if member.last_seen_at < oldest:
                 del self._heard[host]
--- a/src/amaranthrail/policy/membership.py
+++ b/src/amaranthrail/policy/membership.py
@@ -32,7 +32,7 @@
 
     host: str
     started_at: int
-    heard_at: float
+    last_seen_at: float
     leaving_at: int = 0
     informed: bool = True
 
@@ -44,7 +44,7 @@
 
 def is_live(member: Member, now: float, life_ms: float) -> bool:
     """Tell whether an entry was heard lately."""
-    return now - member.heard_at < life_ms
+    return now - member.last_seen_at < life_ms
 
 
 def is_leader(
@@ -55,10 +55,11 @@
 ) -> bool:
     """Tell whether an entry is the one of those alive that has run longest.
 
-    ``own.heard_at`` is when it began to listen: it waits until it would have
+    ``own.last_seen_at`` is when it began to listen: it waits until it would
+    have
     heard the others.
     """
-    if own.leaving or now - own.heard_at < LEADER_DELAY_MS:
+    if own.leaving or now - own.last_seen_at < LEADER_DELAY_MS:
         return False
     return all(
         (own.started_at, own.host) < (one.started_at, one.host)
