--- a/src/amaranthrail/direct/loads.py
+++ b/src/amaranthrail/direct/loads.py
@@ -98,7 +98,7 @@
             calls,
             alive,
             own.started_at,
-            own.leaving_at,
+            own.shutdown_at,
             self._world.complete,
             self._world.version,
         )
--- a/src/amaranthrail/direct/members.py
+++ b/src/amaranthrail/direct/members.py
@@ -112,7 +112,7 @@
 
     def leave(self) -> None:
         """Say from now on that this entry leaves."""
-        self._own = replace(self._own, leaving_at=self._clock.wall())
+        self._own = replace(self._own, shutdown_at=self._clock.wall())
 
     def _living(self) -> list[Member]:
         """Return the other entries that were heard lately."""
--- a/src/amaranthrail/policy/membership.py
+++ b/src/amaranthrail/policy/membership.py
@@ -24,7 +24,8 @@
 class Member(msgspec.Struct, frozen=True):
     """Hold what an entry last said of itself, and when that was heard.
 
-    ``started_at`` and ``leaving_at`` are the wall times of its start and of its
+    ``started_at`` and ``shutdown_at`` are the wall times of its start and of
+    its
     signal to stop in ms, the latter 0 before. They only order entries, so a
     wrong clock decides who leads and who ends last, and nothing else.
     ``informed`` says that it knows a configuration and upstreams.
@@ -33,13 +34,13 @@
     host: str
     started_at: int
     last_seen_at: float
-    leaving_at: int = 0
+    shutdown_at: int = 0
     informed: bool = True
 
     @property
     def leaving(self) -> bool:
         """Tell whether it has got its signal to stop."""
-        return self.leaving_at > 0
+        return self.shutdown_at > 0
 
 
 def is_live(member: Member, now: float, life_ms: float) -> bool:
@@ -76,7 +77,7 @@
     if not other.informed:
         return False
     return not other.leaving or (
-        (other.leaving_at, other.host) > (own.leaving_at, own.host)
+        (other.shutdown_at, other.host) > (own.shutdown_at, own.host)
     )
 
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -128,7 +128,7 @@
     time = FakeTime()
     members = new_members(time)
     members.leave()
-    left_at = members.own.leaving_at
+    left_at = members.own.shutdown_at
     now = time() * 1000
     members.note_heard(Member('a', 1, now, left_at - 1))
     members.note_heard(Member('c', 1, now, informed=False))
