--- a/src/amaranthrail/policy/membership.py
+++ b/src/amaranthrail/policy/membership.py
@@ -28,14 +28,14 @@
     its
     signal to stop in ms, the latter 0 before. They only order entries, so a
     wrong clock decides who leads and who ends last, and nothing else.
-    ``informed`` says that it knows a configuration and upstreams.
+    ``has_cluster_state`` says that it knows a configuration and upstreams.
     """
 
     host: str
     started_at: int
     last_seen_at: float
     shutdown_at: int = 0
-    informed: bool = True
+    has_cluster_state: bool = True
 
     @property
     def leaving(self) -> bool:
@@ -74,7 +74,7 @@
 
     Of those that leave, the one that began last stays the longest.
     """
-    if not other.informed:
+    if not other.has_cluster_state:
         return False
     return not other.leaving or (
         (other.shutdown_at, other.host) > (own.shutdown_at, own.host)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -131,7 +131,7 @@
     left_at = members.own.shutdown_at
     now = time() * 1000
     members.note_heard(Member('a', 1, now, left_at - 1))
-    members.note_heard(Member('c', 1, now, informed=False))
+    members.note_heard(Member('c', 1, now, has_cluster_state=False))
     assert members.successors == 0
     members.note_heard(Member('a', 1, now, left_at + 1))
     members.note_heard(Member('c', 1, now))
