--- a/src/amaranthrail/policy/outliers.py
+++ b/src/amaranthrail/policy/outliers.py
@@ -27,11 +27,11 @@
 
     failure_share: float = 0
     consecutive: int = 0
-    avoid_until: float = 0
+    ejected_until: float = 0
 
     def is_ejected(self, now: float) -> bool:
         """Tell whether calls should go elsewhere for now."""
-        return now < self.avoid_until
+        return now < self.ejected_until
 
     def record_success(self) -> None:
         """Count a call that ended well."""
@@ -50,5 +50,5 @@
 
     def _pause(self, now: float) -> None:
         pause_ms = FIRST_PAUSE_MS * 2**self.consecutive
-        self.avoid_until = now + min(MAX_PAUSE_MS, pause_ms)
+        self.ejected_until = now + min(MAX_PAUSE_MS, pause_ms)
         self.consecutive += 1
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -104,8 +104,8 @@
     now = 0.0
     for _ in range(6):
         health.record_unreachable(now)
-        pauses.append(health.avoid_until - now)
-        now = health.avoid_until
+        pauses.append(health.ejected_until - now)
+        now = health.ejected_until
     assert pauses == sorted(pauses)
     assert pauses[-1] == pytest.approx(MAX_PAUSE_MS)
     health.record_success()
