--- a/src/amaranthrail/policy/outliers.py
+++ b/src/amaranthrail/policy/outliers.py
@@ -13,7 +13,7 @@
 #: Time for which the first failure to connect keeps calls away, in ms.
 FIRST_PAUSE_MS = 500.0
 #: Longest such time: an upstream that is back is noticed this late at most.
-MAX_PAUSE_MS = 4000.0
+MAX_EJECTION_MS = 4000.0
 #: Weight of the latest call in the share of failures.
 CALL_WEIGHT = 0.2
 #: Share of failures from which an upstream is avoided; engines that are well
@@ -50,5 +50,5 @@
 
     def _pause(self, now: float) -> None:
         pause_ms = FIRST_PAUSE_MS * 2**self.consecutive
-        self.ejected_until = now + min(MAX_PAUSE_MS, pause_ms)
+        self.ejected_until = now + min(MAX_EJECTION_MS, pause_ms)
         self.consecutive += 1
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from amaranthrail.policy.outliers import MAX_PAUSE_MS, Health
+from amaranthrail.policy.outliers import MAX_EJECTION_MS, Health
 from amaranthrail.policy.rebalancing import (
     PRESSED_INTERVAL_MS,
     WARM_INTERVAL_MS,
@@ -107,11 +107,11 @@
         pauses.append(health.ejected_until - now)
         now = health.ejected_until
     assert pauses == sorted(pauses)
-    assert pauses[-1] == pytest.approx(MAX_PAUSE_MS)
+    assert pauses[-1] == pytest.approx(MAX_EJECTION_MS)
     health.record_success()
     health.record_unreachable(now)
     assert health.is_ejected(now)
-    assert not health.is_ejected(now + MAX_PAUSE_MS)
+    assert not health.is_ejected(now + MAX_EJECTION_MS)
 
 
 @pytest.mark.parametrize(
