--- a/src/amaranthrail/direct/departure.py
+++ b/src/amaranthrail/direct/departure.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..policy.shutdown import FINISH_SHARE, may_end, takes_call
+from ..policy.shutdown import FINISH_SHARE, can_exit, takes_call
 from ..types import Millis
 from .call import Call
 from .members import Members
@@ -32,7 +32,7 @@
 
     def may_end(self, active: int) -> bool:
         """Tell whether the process may end, with so many calls in progress."""
-        return may_end(
+        return can_exit(
             active=active,
             store_lost=self._contact.lost,
             successors=self._members.successors,
--- a/src/amaranthrail/policy/shutdown.py
+++ b/src/amaranthrail/policy/shutdown.py
@@ -16,7 +16,7 @@
 FINISH_SHARE = 0.94
 
 
-def may_end(*, active: int, store_lost: bool, successors: int) -> bool:
+def can_exit(*, active: int, store_lost: bool, successors: int) -> bool:
     """Tell whether an entry that leaves may end before it must.
 
     While the store is away, what the entries know is nowhere else: the last of
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -26,7 +26,7 @@
     decay_others,
     select_upstream,
 )
-from amaranthrail.policy.shutdown import may_end, takes_call
+from amaranthrail.policy.shutdown import can_exit, takes_call
 from amaranthrail.policy.windowbudget import WindowRetryBudget
 from amaranthrail.ranks.keeper import CYCLE_MS
 
@@ -47,10 +47,10 @@
 
 def test_the_last_entry_that_knows_waits_for_one_that_stays() -> None:
     """Replays a restart of all entries within 5 s while the store is away."""
-    assert may_end(active=0, store_lost=False, successors=0)
-    assert may_end(active=0, store_lost=True, successors=1)
-    assert not may_end(active=0, store_lost=True, successors=0)
-    assert not may_end(active=1, store_lost=False, successors=3)
+    assert can_exit(active=0, store_lost=False, successors=0)
+    assert can_exit(active=0, store_lost=True, successors=1)
+    assert not can_exit(active=0, store_lost=True, successors=0)
+    assert not can_exit(active=1, store_lost=False, successors=3)
 
 
 def test_a_burst_is_spread_over_all_upstreams() -> None:
