--- a/src/amaranthrail/direct/departure.py
+++ b/src/amaranthrail/direct/departure.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..policy.shutdown import FINISH_SHARE, can_exit, takes_call
+from ..policy.shutdown import FINISH_SHARE, can_accept_call, can_exit
 from ..types import Millis
 from .call import Call
 from .members import Members
@@ -42,7 +42,7 @@
         """Tell whether a call is taken now."""
         if self._began_at is None:
             return True
-        return takes_call(
+        return can_accept_call(
             call.arrived_at - self._began_at,
             call.deadline - call.arrived_at,
             self._shutdown_ms,
--- a/src/amaranthrail/policy/shutdown.py
+++ b/src/amaranthrail/policy/shutdown.py
@@ -25,7 +25,7 @@
     return not active and (not store_lost or successors > 0)
 
 
-def takes_call(
+def can_accept_call(
     since_ms: float,
     left_ms: float,
     shutdown_ms: float,
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -26,7 +26,7 @@
     decay_others,
     select_upstream,
 )
-from amaranthrail.policy.shutdown import can_exit, takes_call
+from amaranthrail.policy.shutdown import can_accept_call, can_exit
 from amaranthrail.policy.windowbudget import WindowRetryBudget
 from amaranthrail.ranks.keeper import CYCLE_MS
 
@@ -39,10 +39,10 @@
 
 def test_a_leaving_entry_takes_what_it_can_finish() -> None:
     """Replays a kill 8 s after the signal to stop."""
-    assert takes_call(0, 8000, 8000, streaming=True)
-    assert not takes_call(3000, 8000, 8000, streaming=True)
-    assert takes_call(3000, 1500, 8000, streaming=False)
-    assert not takes_call(7000, 1500, 8000, streaming=False)
+    assert can_accept_call(0, 8000, 8000, streaming=True)
+    assert not can_accept_call(3000, 8000, 8000, streaming=True)
+    assert can_accept_call(3000, 1500, 8000, streaming=False)
+    assert not can_accept_call(7000, 1500, 8000, streaming=False)
 
 
 def test_the_last_entry_that_knows_waits_for_one_that_stays() -> None:
