--- a/src/amaranthrail/policy/shutdown.py
+++ b/src/amaranthrail/policy/shutdown.py
@@ -11,7 +11,7 @@
 #: Time from the signal to stop in which streams are taken, in ms: the balancer
 #: sends new callers until it has missed two probes, a second apart, and the
 #: users let only streams of the first 3 s be cut at the kill.
-STREAM_INTAKE_MS = 2900.0
+STREAM_ACCEPT_MS = 2900.0
 #: Part of the time until the kill that calls in progress may take.
 FINISH_SHARE = 0.94
 
@@ -38,5 +38,5 @@
     call may take, and ``shutdown_ms`` the time from the signal to the kill.
     """
     if streaming:
-        return since_ms < STREAM_INTAKE_MS
+        return since_ms < STREAM_ACCEPT_MS
     return since_ms + left_ms < FINISH_SHARE * shutdown_ms
--- a/tests/test_direct_path.py
+++ b/tests/test_direct_path.py
@@ -9,7 +9,7 @@
 
 from amaranthrail.adapters.httpclient import HttpAnswer
 from amaranthrail.exceptions import HttpError
-from amaranthrail.policy.shutdown import STREAM_INTAKE_MS
+from amaranthrail.policy.shutdown import STREAM_ACCEPT_MS
 from standins.keyedlog import KeyedLog, StoreFault
 from standins.platformfleet import listen
 from standins.replica import EVENTS, Behaviour
@@ -344,7 +344,7 @@
             nursery.start_soon(call_long, '/stream/1', 'POST')
             await until(lambda: bool(slow.ran))
             entry.entry.stop()
-            await trio.sleep(STREAM_INTAKE_MS / 1000 + 0.1)
+            await trio.sleep(STREAM_ACCEPT_MS / 1000 + 0.1)
             answer = await entry.call('/read/1')
             assert (answer.status, len(plain.ran)) == (200, 1)
             refused = await call_long('/stream/2', 'POST')
