--- a/src/amaranthrail/direct/departure.py
+++ b/src/amaranthrail/direct/departure.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..policy.shutdown import FINISH_SHARE, can_accept_call, can_exit
+from ..policy.shutdown import CALL_COMPLETION_SHARE, can_accept_call, can_exit
 from ..types import Millis
 from .call import Call
 from .members import Members
@@ -28,7 +28,7 @@
         self._members.leave()
         self._shutdown_ms = shutdown_ms
         self._began_at = self._clock.now()
-        return self._began_at + FINISH_SHARE * shutdown_ms
+        return self._began_at + CALL_COMPLETION_SHARE * shutdown_ms
 
     def may_end(self, active: int) -> bool:
         """Tell whether the process may end, with so many calls in progress."""
--- a/src/amaranthrail/policy/shutdown.py
+++ b/src/amaranthrail/policy/shutdown.py
@@ -13,7 +13,7 @@
 #: users let only streams of the first 3 s be cut at the kill.
 STREAM_ACCEPT_MS = 2900.0
 #: Part of the time until the kill that calls in progress may take.
-FINISH_SHARE = 0.94
+CALL_COMPLETION_SHARE = 0.94
 
 
 def can_exit(*, active: int, store_lost: bool, successors: int) -> bool:
@@ -39,4 +39,4 @@
     """
     if streaming:
         return since_ms < STREAM_ACCEPT_MS
-    return since_ms + left_ms < FINISH_SHARE * shutdown_ms
+    return since_ms + left_ms < CALL_COMPLETION_SHARE * shutdown_ms
