--- a/src/amaranthrail/policy/rebalancing.py
+++ b/src/amaranthrail/policy/rebalancing.py
@@ -31,7 +31,7 @@
 MAX_COUNTS = 1024
 
 
-def can_follow(sets: int, experts: int) -> bool:
+def can_rebalance(sets: int, experts: int) -> bool:
     """Tell whether changes of a map of this size can follow demand."""
     return sets * experts <= MAX_COUNTS
 
--- a/src/amaranthrail/ranks/keeper.py
+++ b/src/amaranthrail/ranks/keeper.py
@@ -12,7 +12,7 @@
 from ..direct.upstreams import Upstream
 from ..direct.world import World
 from ..logs import part_logger
-from ..policy.rebalancing import can_follow
+from ..policy.rebalancing import can_rebalance
 from ..types import ServiceName
 from .leader import Leader
 from .ports import RankPort
@@ -69,7 +69,7 @@
         for service in deployment.services.values():
             layout = service.layout
             # Reports are billed, and of no use where maps cannot be changed.
-            if layout is None or not can_follow(layout.sets, layout.experts):
+            if layout is None or not can_rebalance(layout.sets, layout.experts):
                 continue
             leader = self._leader(deployment, service, layout)
             await self._look(service.name, leader)
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -10,7 +10,7 @@
 from amaranthrail.policy.rebalancing import (
     PRESSED_INTERVAL_MS,
     WARM_INTERVAL_MS,
-    can_follow,
+    can_rebalance,
     counts_due,
     pays,
     under_pressure,
@@ -209,5 +209,5 @@
 
 def test_a_large_group_keeps_its_map_as_demand_would_outrun_a_change() -> None:
     """Replays asmv-libretti and the same site grown."""
-    assert can_follow(sets=4, experts=64)
-    assert not can_follow(sets=12, experts=144)
+    assert can_rebalance(sets=4, experts=64)
+    assert not can_rebalance(sets=12, experts=144)
