--- a/src/amaranthrail/policy/rebalancing.py
+++ b/src/amaranthrail/policy/rebalancing.py
@@ -36,7 +36,7 @@
     return sets * experts <= MAX_COUNTS
 
 
-def is_warm(pass_ms: float, target_gap_ms: float) -> bool:
+def has_moderate_load(pass_ms: float, target_gap_ms: float) -> bool:
     """Tell whether a group has enough work for its map to matter soon."""
     return pass_ms > WARM_SHARE * target_gap_ms
 
@@ -52,7 +52,7 @@
     target_gap_ms: float,
 ) -> bool:
     """Tell whether to read counts; ``age_ms`` is None before the first."""
-    if not is_warm(pass_ms, target_gap_ms):
+    if not has_moderate_load(pass_ms, target_gap_ms):
         return False
     if age_ms is None:
         return True
@@ -65,4 +65,4 @@
     """Tell whether a change that saves this share is worth its copies."""
     if under_pressure(pass_ms, target_gap_ms):
         return saving >= PRESSED_SAVING
-    return is_warm(pass_ms, target_gap_ms) and saving >= WARM_SAVING
+    return has_moderate_load(pass_ms, target_gap_ms) and saving >= WARM_SAVING
--- a/src/amaranthrail/ranks/leader.py
+++ b/src/amaranthrail/ranks/leader.py
@@ -18,7 +18,7 @@
     plan_set,
     set_skew,
 )
-from ..policy.rebalancing import counts_due, is_warm, pays
+from ..policy.rebalancing import counts_due, has_moderate_load, pays
 from .change import ChangeOutcome, MapChange, Target, ask_all
 from .ports import (
     MapOrder,
@@ -261,7 +261,7 @@
     async def _improve(self, report: RankReport) -> None:
         formation = self._formation
         placement = formation.placement
-        if not is_warm(formation.pass_ms, self._target_gap_ms):
+        if not has_moderate_load(formation.pass_ms, self._target_gap_ms):
             return
         if placement is None or len(self._ranks) != report.size:
             return
