--- a/src/amaranthrail/policy/rebalancing.py
+++ b/src/amaranthrail/policy/rebalancing.py
@@ -41,7 +41,7 @@
     return pass_ms > WARM_SHARE * target_gap_ms
 
 
-def under_pressure(pass_ms: float, target_gap_ms: float) -> bool:
+def has_high_load(pass_ms: float, target_gap_ms: float) -> bool:
     """Tell whether passes have become long for streams to be in time."""
     return pass_ms > PRESSURE_SHARE * target_gap_ms
 
@@ -56,13 +56,13 @@
         return False
     if age_ms is None:
         return True
-    if under_pressure(pass_ms, target_gap_ms):
+    if has_high_load(pass_ms, target_gap_ms):
         return age_ms >= PRESSED_INTERVAL_MS
     return age_ms >= WARM_INTERVAL_MS
 
 
 def pays(saving: float, pass_ms: float, target_gap_ms: float) -> bool:
     """Tell whether a change that saves this share is worth its copies."""
-    if under_pressure(pass_ms, target_gap_ms):
+    if has_high_load(pass_ms, target_gap_ms):
         return saving >= PRESSED_SAVING
     return has_moderate_load(pass_ms, target_gap_ms) and saving >= WARM_SAVING
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -12,8 +12,8 @@
     WARM_INTERVAL_MS,
     can_rebalance,
     counts_due,
+    has_high_load,
     pays,
-    under_pressure,
 )
 from amaranthrail.policy.retryafter import (
     MIN_RETURN_MS,
@@ -202,7 +202,7 @@
 
 def test_a_stale_map_is_changed_while_a_wave_rises() -> None:
     # A shift on a calm group triples the most loaded rank's share.
-    assert not under_pressure(65, GAP_MS)
+    assert not has_high_load(65, GAP_MS)
     assert pays(0.65, 65, GAP_MS)
     assert not pays(0.3, 65, GAP_MS)
 
