--- a/src/amaranthrail/policy/rebalancing.py
+++ b/src/amaranthrail/policy/rebalancing.py
@@ -46,7 +46,7 @@
     return pass_ms > PRESSURE_SHARE * target_gap_ms
 
 
-def counts_due(
+def should_read_counts(
     age_ms: float | None,
     pass_ms: float,
     target_gap_ms: float,
--- a/src/amaranthrail/ranks/leader.py
+++ b/src/amaranthrail/ranks/leader.py
@@ -18,7 +18,7 @@
     plan_set,
     set_skew,
 )
-from ..policy.rebalancing import counts_due, has_moderate_load, pays
+from ..policy.rebalancing import has_moderate_load, pays, should_read_counts
 from .change import ChangeOutcome, MapChange, Target, ask_all
 from .ports import (
     MapOrder,
@@ -168,7 +168,9 @@
         now = self._clock.now()
         since = formation.counted_at
         age_ms = None if since is None else now - since
-        if not counts_due(age_ms, formation.pass_ms, self._target_gap_ms):
+        if not should_read_counts(
+            age_ms, formation.pass_ms, self._target_gap_ms
+        ):
             return
         formation.counted_at = now
         self._demand.age(now)
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -11,9 +11,9 @@
     PRESSED_INTERVAL_MS,
     WARM_INTERVAL_MS,
     can_rebalance,
-    counts_due,
     has_high_load,
     pays,
+    should_read_counts,
 )
 from amaranthrail.policy.retryafter import (
     MIN_RETURN_MS,
@@ -172,8 +172,8 @@
 
 
 def test_nothing_is_counted_on_calm_seconds() -> None:
-    assert not counts_due(None, 20, GAP_MS)
-    assert counts_due(None, 65, GAP_MS)
+    assert not should_read_counts(None, 20, GAP_MS)
+    assert should_read_counts(None, 65, GAP_MS)
 
 
 @pytest.mark.parametrize(
@@ -184,14 +184,14 @@
     pass_ms: float,
     interval_ms: float,
 ) -> None:
-    assert not counts_due(interval_ms - 1, pass_ms, GAP_MS)
-    assert counts_due(interval_ms, pass_ms, GAP_MS)
+    assert not should_read_counts(interval_ms - 1, pass_ms, GAP_MS)
+    assert should_read_counts(interval_ms, pass_ms, GAP_MS)
 
 
 def test_each_look_under_pressure_counts() -> None:
     """Replays a shift every 3.3 s: a second between counts is too long."""
     assert PRESSED_INTERVAL_MS < CYCLE_MS
-    assert counts_due(CYCLE_MS, 130, GAP_MS)
+    assert should_read_counts(CYCLE_MS, 130, GAP_MS)
 
 
 def test_only_long_passes_and_large_savings_change_a_map() -> None:
