--- a/src/amaranthrail/policy/rebalancing.py
+++ b/src/amaranthrail/policy/rebalancing.py
@@ -1,8 +1,9 @@
-"""Decide when experts are counted and when a change of map pays.
+"""Decide when experts are counted and when a change of map should_change_map.
 
 Load pattern: a wave of demand with bursts on top, while the experts in demand
 change every few seconds. With few calls a pass is short whatever the map, so
-only the crest pays for the copies of a change. Passes are longer while counts
+only the crest should_change_map for the copies of a change. Passes are longer
+while counts
 are read and experts copied, and a large group is read, planned and ordered for
 most of the time that demand lasts: there a change makes streams late and then
 serves a demand that has gone.
@@ -61,7 +62,9 @@
     return age_ms >= WARM_INTERVAL_MS
 
 
-def pays(saving: float, pass_ms: float, target_gap_ms: float) -> bool:
+def should_change_map(
+    saving: float, pass_ms: float, target_gap_ms: float
+) -> bool:
     """Tell whether a change that saves this share is worth its copies."""
     if has_high_load(pass_ms, target_gap_ms):
         return saving >= PRESSED_SAVING
--- a/src/amaranthrail/ranks/leader.py
+++ b/src/amaranthrail/ranks/leader.py
@@ -18,7 +18,11 @@
     plan_set,
     set_skew,
 )
-from ..policy.rebalancing import has_moderate_load, pays, should_read_counts
+from ..policy.rebalancing import (
+    has_moderate_load,
+    should_change_map,
+    should_read_counts,
+)
 from .change import ChangeOutcome, MapChange, Target, ask_all
 from .ports import (
     MapOrder,
@@ -271,7 +275,9 @@
         before = self._skew(placement)
         after = self._skew(planned)
         saving = 1 - after / before
-        if not pays(saving, self._formation.pass_ms, self._target_gap_ms):
+        if not should_change_map(
+            saving, self._formation.pass_ms, self._target_gap_ms
+        ):
             return
         copies = _copies_by_rank(placement, planned)
         target = Target(
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -12,7 +12,7 @@
     WARM_INTERVAL_MS,
     can_rebalance,
     has_high_load,
-    pays,
+    should_change_map,
     should_read_counts,
 )
 from amaranthrail.policy.retryafter import (
@@ -195,16 +195,16 @@
 
 
 def test_only_long_passes_and_large_savings_change_a_map() -> None:
-    assert not pays(0.7, 20, GAP_MS)
-    assert pays(0.3, 100, GAP_MS)
-    assert not pays(0.1, 100, GAP_MS)
+    assert not should_change_map(0.7, 20, GAP_MS)
+    assert should_change_map(0.3, 100, GAP_MS)
+    assert not should_change_map(0.1, 100, GAP_MS)
 
 
 def test_a_stale_map_is_changed_while_a_wave_rises() -> None:
     # A shift on a calm group triples the most loaded rank's share.
     assert not has_high_load(65, GAP_MS)
-    assert pays(0.65, 65, GAP_MS)
-    assert not pays(0.3, 65, GAP_MS)
+    assert should_change_map(0.65, 65, GAP_MS)
+    assert not should_change_map(0.3, 65, GAP_MS)
 
 
 def test_a_large_group_keeps_its_map_as_demand_would_outrun_a_change() -> None:
