--- a/src/amaranthrail/policy/demand.py
+++ b/src/amaranthrail/policy/demand.py
@@ -55,7 +55,7 @@
             self._weights = [part * weight for weight in self._weights]
         self._aged_at = now
 
-    def take(self, rank: int, chosen: tuple[int, ...]) -> None:
+    def update_counts(self, rank: int, chosen: tuple[int, ...]) -> None:
         """Take a rank's counts; what they grew by counts as new."""
         earlier = self._seen.get(rank)
         if len(chosen) != len(self._weights):
--- a/src/amaranthrail/ranks/leader.py
+++ b/src/amaranthrail/ranks/leader.py
@@ -185,7 +185,7 @@
         for rank in ranks:
             counts = await self._ranks[rank].counts()
             if counts is not None:
-                self._demand.take(rank, counts.chosen)
+                self._demand.update_counts(rank, counts.chosen)
 
     def _next_counted(self) -> int:
         """Return the rank to count, each of a few in turn."""
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -21,7 +21,7 @@
             more = 10 * CHOICES if expert == liked else CHOICES
             self._counts[expert] += more
         self.demand.age(now)
-        self.demand.take(0, tuple(self._counts))
+        self.demand.update_counts(0, tuple(self._counts))
 
 
 def test_what_was_liked_before_a_change_is_forgotten_at_once() -> None:
@@ -45,6 +45,6 @@
 
 def test_counts_that_begin_anew_count_as_nothing() -> None:
     demand = ExpertDemand(1, EXPERTS)
-    demand.take(0, (1000,) * EXPERTS)
-    demand.take(0, (10,) * EXPERTS)
+    demand.update_counts(0, (1000,) * EXPERTS)
+    demand.update_counts(0, (10,) * EXPERTS)
     assert not any(demand.of_set(0))
--- a/tests/test_expertplan.py
+++ b/tests/test_expertplan.py
@@ -77,18 +77,18 @@
     # liked before must not outweigh a tenth of what is liked now.
     demand = ExpertDemand(1, 2)
     demand.age(0)
-    demand.take(0, (0, 0))
-    demand.take(0, (1000, 0))
+    demand.update_counts(0, (0, 0))
+    demand.update_counts(0, (1000, 0))
     for now in range(500, 4500, 500):
         demand.age(now)
-        demand.take(0, (1000, now))
+        demand.update_counts(0, (1000, now))
     old, fresh = demand.of_set(0)
     assert fresh > 10 * old
 
 
 def test_a_restarted_rank_counts_from_its_start() -> None:
     demand = ExpertDemand(1, 2)
-    demand.take(0, (500, 500))
-    demand.take(0, (10, 0))
-    demand.take(0, (15, 0))
+    demand.update_counts(0, (500, 500))
+    demand.update_counts(0, (10, 0))
+    demand.update_counts(0, (15, 0))
     assert list(demand.of_set(0)) == pytest.approx([5, 0])
