--- a/src/amaranthrail/policy/demand.py
+++ b/src/amaranthrail/policy/demand.py
@@ -48,7 +48,7 @@
         self._seen.clear()
         self._weights = [0.0 for _ in self._weights]
 
-    def age(self, now: float) -> None:
+    def decay(self, now: float) -> None:
         """Let past choices lose weight."""
         if self._aged_at is not None:
             part = 0.5 ** ((now - self._aged_at) / DEMAND_HALF_LIFE_MS)
--- a/src/amaranthrail/ranks/leader.py
+++ b/src/amaranthrail/ranks/leader.py
@@ -177,7 +177,7 @@
         ):
             return
         formation.counted_at = now
-        self._demand.age(now)
+        self._demand.decay(now)
         ranks = [self._next_counted()]
         if since is None:
             # What counts grow by says something from the second reading on.
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -20,7 +20,7 @@
         for expert in range(EXPERTS):
             more = 10 * CHOICES if expert == liked else CHOICES
             self._counts[expert] += more
-        self.demand.age(now)
+        self.demand.decay(now)
         self.demand.update_counts(0, tuple(self._counts))
 
 
--- a/tests/test_expertplan.py
+++ b/tests/test_expertplan.py
@@ -76,11 +76,11 @@
     # Demand shifts every three to four seconds; after one such time what was
     # liked before must not outweigh a tenth of what is liked now.
     demand = ExpertDemand(1, 2)
-    demand.age(0)
+    demand.decay(0)
     demand.update_counts(0, (0, 0))
     demand.update_counts(0, (1000, 0))
     for now in range(500, 4500, 500):
-        demand.age(now)
+        demand.decay(now)
         demand.update_counts(0, (1000, now))
     old, fresh = demand.of_set(0)
     assert fresh > 10 * old
