--- a/src/amaranthrail/policy/demand.py
+++ b/src/amaranthrail/policy/demand.py
@@ -43,7 +43,7 @@
         first = index * self._experts
         return self._weights[first : first + self._experts]
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Begin anew; the group has formed again."""
         self._seen.clear()
         self._weights = [0.0 for _ in self._weights]
--- a/src/amaranthrail/ranks/leader.py
+++ b/src/amaranthrail/ranks/leader.py
@@ -216,7 +216,7 @@
         now = self._clock.now()
         if report.epoch != self._formation.epoch:
             _log.info('group formed', group=report.group, epoch=report.epoch)
-            self._demand.forget()
+            self._demand.reset()
             self._formation = _Formation(report.epoch, last_step_at=now)
             self._formation.last_step = report.step
         formation = self._formation
