--- a/src/amaranthrail/policy/demand.py
+++ b/src/amaranthrail/policy/demand.py
@@ -33,7 +33,7 @@
         self._aged_at: float | None = None
 
     @property
-    def settled(self) -> bool:
+    def has_enough_counts(self) -> bool:
         """Tell whether enough has been chosen to judge by."""
         wanted = MIN_MEAN_CHOICES * len(self._weights)
         return sum(self._weights) >= wanted
@@ -66,7 +66,10 @@
             return
         pairs = zip(chosen, earlier, strict=True)
         grown = [now - before for now, before in pairs]
-        if self.settled and _likeness(grown, self._weights) < CHANGED_LIKENESS:
+        if (
+            self.has_enough_counts
+            and _likeness(grown, self._weights) < CHANGED_LIKENESS
+        ):
             self._weights = [0.0 for _ in self._weights]
         self._weights = [
             weight + max(0, more)
--- a/src/amaranthrail/ranks/leader.py
+++ b/src/amaranthrail/ranks/leader.py
@@ -163,7 +163,7 @@
         await self._count()
         if self.yields or report.armed:
             return
-        if self._demand.settled:
+        if self._demand.has_enough_counts:
             await self._improve(report)
 
     async def _count(self) -> None:
