--- a/src/amaranthrail/policy/demand.py
+++ b/src/amaranthrail/policy/demand.py
@@ -38,7 +38,7 @@
         wanted = MIN_MEAN_CHOICES * len(self._weights)
         return sum(self._weights) >= wanted
 
-    def of_set(self, index: int) -> Sequence[float]:
+    def layer_set_weights(self, index: int) -> Sequence[float]:
         """Return the weight of each expert of a set."""
         first = index * self._experts
         return self._weights[first : first + self._experts]
--- a/src/amaranthrail/ranks/leader.py
+++ b/src/amaranthrail/ranks/leader.py
@@ -310,7 +310,7 @@
         limits = PlanLimits(self._layout.placements, self._layout.spare)
         planned = []
         for index, held in enumerate(placement):
-            weights = self._demand.of_set(index)
+            weights = self._demand.layer_set_weights(index)
             planned.append(plan_set(held, weights, limits, self._random))
             # Callers are served between the sets of a large group.
             await trio.lowlevel.checkpoint()
@@ -318,7 +318,7 @@
 
     def _skew(self, placement: Placement) -> float:
         skews = [
-            set_skew(held, self._demand.of_set(index))
+            set_skew(held, self._demand.layer_set_weights(index))
             for index, held in enumerate(placement)
         ]
         return sum(skews) / len(skews)
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -30,7 +30,7 @@
     for reading in range(5):
         reader.read(250.0 * reading, liked=1)
     reader.read(1250, liked=6)
-    weights = list(reader.demand.of_set(0))
+    weights = list(reader.demand.layer_set_weights(0))
     assert weights[1] == weights[0]
     assert weights.index(max(weights)) == 6
 
@@ -40,11 +40,11 @@
     for reading in range(3):
         reader.read(250.0 * reading, liked=1)
     once = 10 * CHOICES
-    assert reader.demand.of_set(0)[1] > 1.5 * once
+    assert reader.demand.layer_set_weights(0)[1] > 1.5 * once
 
 
 def test_counts_that_begin_anew_count_as_nothing() -> None:
     demand = ExpertDemand(1, EXPERTS)
     demand.update_counts(0, (1000,) * EXPERTS)
     demand.update_counts(0, (10,) * EXPERTS)
-    assert not any(demand.of_set(0))
+    assert not any(demand.layer_set_weights(0))
--- a/tests/test_expertplan.py
+++ b/tests/test_expertplan.py
@@ -82,7 +82,7 @@
     for now in range(500, 4500, 500):
         demand.decay(now)
         demand.update_counts(0, (1000, now))
-    old, fresh = demand.of_set(0)
+    old, fresh = demand.layer_set_weights(0)
     assert fresh > 10 * old
 
 
@@ -91,4 +91,4 @@
     demand.update_counts(0, (500, 500))
     demand.update_counts(0, (10, 0))
     demand.update_counts(0, (15, 0))
-    assert list(demand.of_set(0)) == pytest.approx([5, 0])
+    assert list(demand.layer_set_weights(0)) == pytest.approx([5, 0])
