--- a/src/amaranthrail/policy/expertplan.py
+++ b/src/amaranthrail/policy/expertplan.py
@@ -50,7 +50,7 @@
     return _Board(placement, weights).skew
 
 
-def plan_set(
+def plan_layer_set(
     placement: SetPlacement,
     weights: Sequence[float],
     limits: PlanLimits,
--- a/src/amaranthrail/ranks/leader.py
+++ b/src/amaranthrail/ranks/leader.py
@@ -15,7 +15,7 @@
 from ..policy.expertplan import (
     PlanLimits,
     default_placement,
-    plan_set,
+    plan_layer_set,
     set_skew,
 )
 from ..policy.rebalancing import (
@@ -311,7 +311,7 @@
         planned = []
         for index, held in enumerate(placement):
             weights = self._demand.layer_set_weights(index)
-            planned.append(plan_set(held, weights, limits, self._random))
+            planned.append(plan_layer_set(held, weights, limits, self._random))
             # Callers are served between the sets of a large group.
             await trio.lowlevel.checkpoint()
         return tuple(planned)
--- a/tests/test_expertplan.py
+++ b/tests/test_expertplan.py
@@ -10,7 +10,7 @@
 from amaranthrail.policy.expertplan import (
     PlanLimits,
     default_placement,
-    plan_set,
+    plan_layer_set,
     set_skew,
 )
 
@@ -33,7 +33,7 @@
     first = default_placement(64, 16)
     planned = first
     for _ in range(3):
-        planned = plan_set(planned, weights, LIMITS, source)
+        planned = plan_layer_set(planned, weights, LIMITS, source)
     assert set_skew(first, weights) > 2 * MAX_SKEW
     assert set_skew(planned, weights) <= MAX_SKEW
 
@@ -51,7 +51,7 @@
     limits = PlanLimits(placements, spare=2)
     current = default_placement(experts, ranks)
     for _ in range(5):
-        planned = plan_set(
+        planned = plan_layer_set(
             current,
             zipf_weights(experts, source),
             limits,
@@ -67,7 +67,9 @@
 def test_even_demand_is_left_alone() -> None:
     first = default_placement(64, 16)
     assert (
-        plan_set(first, tuple(1.0 for _ in range(64)), LIMITS, random.Random(1))
+        plan_layer_set(
+            first, tuple(1.0 for _ in range(64)), LIMITS, random.Random(1)
+        )
         == first
     )
 
