--- a/src/amaranthrail/policy/expertplan.py
+++ b/src/amaranthrail/policy/expertplan.py
@@ -45,7 +45,7 @@
     return tuple(tuple(range(rank, experts, ranks)) for rank in range(ranks))
 
 
-def set_skew(placement: SetPlacement, weights: Sequence[float]) -> float:
+def layer_set_skew(placement: SetPlacement, weights: Sequence[float]) -> float:
     """Return the most loaded rank's load over the mean of all."""
     return _Board(placement, weights).skew
 
--- a/src/amaranthrail/ranks/leader.py
+++ b/src/amaranthrail/ranks/leader.py
@@ -15,8 +15,8 @@
 from ..policy.expertplan import (
     PlanLimits,
     default_placement,
+    layer_set_skew,
     plan_layer_set,
-    set_skew,
 )
 from ..policy.rebalancing import (
     has_moderate_load,
@@ -318,7 +318,7 @@
 
     def _skew(self, placement: Placement) -> float:
         skews = [
-            set_skew(held, self._demand.layer_set_weights(index))
+            layer_set_skew(held, self._demand.layer_set_weights(index))
             for index, held in enumerate(placement)
         ]
         return sum(skews) / len(skews)
--- a/tests/test_expertplan.py
+++ b/tests/test_expertplan.py
@@ -10,8 +10,8 @@
 from amaranthrail.policy.expertplan import (
     PlanLimits,
     default_placement,
+    layer_set_skew,
     plan_layer_set,
-    set_skew,
 )
 
 #: Load of the most loaded rank over the mean that the issue asks for.
@@ -34,8 +34,8 @@
     planned = first
     for _ in range(3):
         planned = plan_layer_set(planned, weights, LIMITS, source)
-    assert set_skew(first, weights) > 2 * MAX_SKEW
-    assert set_skew(planned, weights) <= MAX_SKEW
+    assert layer_set_skew(first, weights) > 2 * MAX_SKEW
+    assert layer_set_skew(planned, weights) <= MAX_SKEW
 
 
 @pytest.mark.parametrize(
