--- a/bench/skew.py
+++ b/bench/skew.py
@@ -12,10 +12,10 @@
     ExpertMap,
     GroupLoad,
     MoveCost,
+    distribute_evenly,
     lower_bound_ms,
     plan_moves,
     skew,
-    spread_evenly,
     step_ms,
 )
 
@@ -101,7 +101,7 @@
     """Return what a day in fast motion costs under a planner."""
     source = random.Random(seed)
     loads_at = popularity(source)
-    placement = spread_evenly(EXPERTS, RANKS)
+    placement = distribute_evenly(EXPERTS, RANKS)
     result = Result()
     for start in range(0, STEPS, PLAN_EVERY):
         truth = GroupLoad(loads_at(start), speeds(start))
--- a/src/amaranthrail/policy/experts.py
+++ b/src/amaranthrail/policy/experts.py
@@ -53,7 +53,7 @@
     payback_steps: int = PAYBACK_STEPS
 
 
-def spread_evenly(experts: int, ranks: int) -> ExpertMap:
+def distribute_evenly(experts: int, ranks: int) -> ExpertMap:
     """Return the map that a group starts with."""
     return ExpertMap(tuple(expert % ranks for expert in range(experts)))
 
