--- a/src/amaranthrail/direct/repeats.py
+++ b/src/amaranthrail/direct/repeats.py
@@ -33,7 +33,7 @@
 
     def note_call(self, service: ServiceName) -> None:
         """Count a call that a caller sent."""
-        self._budget(service).note_call(self._clock.now())
+        self._budget(service).record_call(self._clock.now())
 
     def spend(self, service: ServiceName) -> bool:
         """Count a repeat if one is left; tell whether it was."""
--- a/src/amaranthrail/policy/windowbudget.py
+++ b/src/amaranthrail/policy/windowbudget.py
@@ -25,7 +25,7 @@
         self._calls: deque[float] = deque()
         self._repeats: deque[float] = deque()
 
-    def note_call(self, now: float) -> None:
+    def record_call(self, now: float) -> None:
         """Count a call that a caller sent."""
         self._calls.append(now)
         self._forget(now)
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -147,7 +147,7 @@
     repeats: list[float] = []
     for now in range(0, 40_000, 10):
         budget = source.choice(budgets)
-        budget.note_call(now)
+        budget.record_call(now)
         calls.append(now)
         if budget.spend(now, entries):
             repeats.append(now)
