--- a/src/amaranthrail/direct/repeats.py
+++ b/src/amaranthrail/direct/repeats.py
@@ -37,7 +37,9 @@
 
     def spend(self, service: ServiceName) -> bool:
         """Count a repeat if one is left; tell whether it was."""
-        return self._budget(service).spend(self._clock.now(), self._entries())
+        return self._budget(service).try_withdraw(
+            self._clock.now(), self._entries()
+        )
 
     def _budget(self, service: ServiceName) -> WindowRetryBudget:
         budget = self._budgets.get(service)
--- a/src/amaranthrail/policy/windowbudget.py
+++ b/src/amaranthrail/policy/windowbudget.py
@@ -30,7 +30,7 @@
         self._calls.append(now)
         self._forget(now)
 
-    def spend(self, now: float, entries: int) -> bool:
+    def try_withdraw(self, now: float, entries: int) -> bool:
         """Count a repeat if the budget has one left; tell whether it had."""
         self._forget(now)
         slack = self._slack / max(1, entries)
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -149,7 +149,7 @@
         budget = source.choice(budgets)
         budget.record_call(now)
         calls.append(now)
-        if budget.spend(now, entries):
+        if budget.try_withdraw(now, entries):
             repeats.append(now)
     for end in range(0, 40_000, 250):
         allowed = RATIO * count_in_window(calls, end) + SLACK
