--- a/src/amaranthrail/entry/forward.py
+++ b/src/amaranthrail/entry/forward.py
@@ -40,7 +40,7 @@
     Once bytes have gone to the caller there is no other try: an answer that
     breaks then ends cut, and visibly so.
     """
-    core.budget.earn()
+    core.budget.deposit()
     excluded: frozenset[str] = frozenset()
     failure: Refusal | None = None
     for _ in range(MAX_TRIES):
--- a/src/amaranthrail/policy/retries.py
+++ b/src/amaranthrail/policy/retries.py
@@ -22,7 +22,7 @@
         """Take a new share; what has been saved stays."""
         self._share = share
 
-    def earn(self) -> None:
+    def deposit(self) -> None:
         """Count a first try."""
         self._saved = min(_MAX_SAVED, self._saved + self._share)
 
