--- a/src/amaranthrail/entry/forward.py
+++ b/src/amaranthrail/entry/forward.py
@@ -65,7 +65,7 @@
 def _may_retry(core: EntryCore, failure: Refusal) -> bool:
     if failure.reason in _FINAL_REASONS:
         return False
-    return failure.reason in _FREE_REASONS or core.budget.spend()
+    return failure.reason in _FREE_REASONS or core.budget.try_withdraw()
 
 
 async def _try_once(
--- a/src/amaranthrail/policy/retries.py
+++ b/src/amaranthrail/policy/retries.py
@@ -26,7 +26,7 @@
         """Count a first try."""
         self._saved = min(_MAX_SAVED, self._saved + self._share)
 
-    def spend(self) -> bool:
+    def try_withdraw(self) -> bool:
         """Take one retry from the budget; tell whether there was one."""
         if self._saved < 1:
             return False
