--- a/src/amaranthrail/entry/administration.py
+++ b/src/amaranthrail/entry/administration.py
@@ -123,7 +123,7 @@
             'facts_waiting': core.shards.waiting,
             'shard_appends': core.shards.appends,
             'shard_appends_unanswered': core.shards.unanswered,
-            'retries_saved': core.budget.saved,
+            'retries_saved': core.budget.balance,
         }
         for name, reading in gauges.items():
             self._runtime.metrics.gauge(name, reading)
--- a/src/amaranthrail/policy/retries.py
+++ b/src/amaranthrail/policy/retries.py
@@ -11,12 +11,12 @@
     def __init__(self, share: float) -> None:
         """Take the retries allowed for one first try."""
         self._share = share
-        self._saved = _MAX_SAVED if share else 0.0
+        self._balance = _MAX_SAVED if share else 0.0
 
     @property
-    def saved(self) -> float:
+    def balance(self) -> float:
         """Return how many retries could be made now."""
-        return self._saved
+        return self._balance
 
     def change_share(self, share: float) -> None:
         """Take a new share; what has been saved stays."""
@@ -24,11 +24,11 @@
 
     def deposit(self) -> None:
         """Count a first try."""
-        self._saved = min(_MAX_SAVED, self._saved + self._share)
+        self._balance = min(_MAX_SAVED, self._balance + self._share)
 
     def try_withdraw(self) -> bool:
         """Take one retry from the budget; tell whether there was one."""
-        if self._saved < 1:
+        if self._balance < 1:
             return False
-        self._saved -= 1
+        self._balance -= 1
         return True
