--- a/src/amaranthrail/entry/core.py
+++ b/src/amaranthrail/entry/core.py
@@ -174,7 +174,7 @@
         manifest = in_force.manifest
         self._policies.routes = RouteTable(manifest)
         self._policies.pickers.clear()
-        self._policies.budget.change_share(manifest.limits.retry_share)
+        self._policies.budget.update_share(manifest.limits.retry_share)
         self._policies.max_body_bytes = manifest.limits.max_body_bytes
         self._runtime.metrics.gauge('manifest_version', in_force.version)
         self._runtime.timeline.add('manifest-in-force', str(in_force.version))
--- a/src/amaranthrail/policy/retries.py
+++ b/src/amaranthrail/policy/retries.py
@@ -18,7 +18,7 @@
         """Return how many retries could be made now."""
         return self._balance
 
-    def change_share(self, share: float) -> None:
+    def update_share(self, share: float) -> None:
         """Take a new share; what has been saved stays."""
         self._share = share
 
