--- a/src/amaranthrail/policy/retryafter.py
+++ b/src/amaranthrail/policy/retryafter.py
@@ -16,7 +16,7 @@
 RETURN_SPREAD_MS = 600.0
 #: Part of the time left after which a caller refused at the crest may be told
 #: to return; it comes back sooner than asked if that is more than a third.
-MAX_RETURN_SHARE = 0.32
+MAX_PEAK_RETRY_SHARE = 0.32
 #: The earliest such return, as a part of the latest.
 MIN_RETURN_SHARE = 0.3
 
@@ -31,5 +31,5 @@
 
     ``left_ms`` is the time that it has left.
     """
-    latest_ms = MAX_RETURN_SHARE * left_ms
+    latest_ms = MAX_PEAK_RETRY_SHARE * left_ms
     return int(source.uniform(MIN_RETURN_SHARE * latest_ms, latest_ms))
--- a/tests/test_wave.py
+++ b/tests/test_wave.py
@@ -7,7 +7,7 @@
 import pytest
 
 from amaranthrail.policy.retryafter import (
-    MAX_RETURN_SHARE,
+    MAX_PEAK_RETRY_SHARE,
     choose_peak_retry_after_ms,
 )
 from amaranthrail.policy.streamadmission import (
@@ -75,5 +75,5 @@
 def test_refused_callers_return_spread_within_their_time() -> None:
     source = random.Random(1)
     returns = [choose_peak_retry_after_ms(8000, source) for _ in range(200)]
-    assert max(returns) <= MAX_RETURN_SHARE * 8000
+    assert max(returns) <= MAX_PEAK_RETRY_SHARE * 8000
     assert max(returns) - min(returns) > 1000
