--- a/src/amaranthrail/policy/retryafter.py
+++ b/src/amaranthrail/policy/retryafter.py
@@ -11,7 +11,7 @@
 import random
 
 #: Least wait before a refused caller returns, in milliseconds.
-MIN_RETURN_MS = 150.0
+MIN_RETRY_AFTER_MS = 150.0
 #: Spread of returns where nothing is known of the wait, in milliseconds.
 RETURN_SPREAD_MS = 600.0
 #: Part of the time left after which a caller refused at the crest may be told
@@ -23,7 +23,7 @@
 
 def choose_retry_after_ms(source: random.Random) -> int:
     """Return the milliseconds until a caller should try again."""
-    return int(MIN_RETURN_MS + source.uniform(0, RETURN_SPREAD_MS))
+    return int(MIN_RETRY_AFTER_MS + source.uniform(0, RETURN_SPREAD_MS))
 
 
 def choose_peak_retry_after_ms(left_ms: float, source: random.Random) -> int:
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -16,7 +16,7 @@
     should_read_counts,
 )
 from amaranthrail.policy.retryafter import (
-    MIN_RETURN_MS,
+    MIN_RETRY_AFTER_MS,
     RETURN_SPREAD_MS,
     choose_retry_after_ms,
 )
@@ -163,9 +163,10 @@
 def test_callers_that_are_refused_together_return_apart() -> None:
     source = random.Random(1)
     returns = [choose_retry_after_ms(source) for _ in range(300)]
-    assert min(returns) >= MIN_RETURN_MS
+    assert min(returns) >= MIN_RETRY_AFTER_MS
     tenths = [
-        int((one - MIN_RETURN_MS) * 10 / RETURN_SPREAD_MS) for one in returns
+        int((one - MIN_RETRY_AFTER_MS) * 10 / RETURN_SPREAD_MS)
+        for one in returns
     ]
     busiest = max(tenths.count(tenth) for tenth in range(10))
     assert busiest < 2 * len(returns) / 10
