--- a/src/amaranthrail/policy/retryafter.py
+++ b/src/amaranthrail/policy/retryafter.py
@@ -13,7 +13,7 @@
 #: Least wait before a refused caller returns, in milliseconds.
 MIN_RETRY_AFTER_MS = 150.0
 #: Spread of returns where nothing is known of the wait, in milliseconds.
-RETURN_SPREAD_MS = 600.0
+RETRY_AFTER_JITTER_MS = 600.0
 #: Part of the time left after which a caller refused at the crest may be told
 #: to return; it comes back sooner than asked if that is more than a third.
 MAX_PEAK_RETRY_SHARE = 0.32
@@ -23,7 +23,7 @@
 
 def choose_retry_after_ms(source: random.Random) -> int:
     """Return the milliseconds until a caller should try again."""
-    return int(MIN_RETRY_AFTER_MS + source.uniform(0, RETURN_SPREAD_MS))
+    return int(MIN_RETRY_AFTER_MS + source.uniform(0, RETRY_AFTER_JITTER_MS))
 
 
 def choose_peak_retry_after_ms(left_ms: float, source: random.Random) -> int:
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -17,7 +17,7 @@
 )
 from amaranthrail.policy.retryafter import (
     MIN_RETRY_AFTER_MS,
-    RETURN_SPREAD_MS,
+    RETRY_AFTER_JITTER_MS,
     choose_retry_after_ms,
 )
 from amaranthrail.policy.selection import (
@@ -165,7 +165,7 @@
     returns = [choose_retry_after_ms(source) for _ in range(300)]
     assert min(returns) >= MIN_RETRY_AFTER_MS
     tenths = [
-        int((one - MIN_RETRY_AFTER_MS) * 10 / RETURN_SPREAD_MS)
+        int((one - MIN_RETRY_AFTER_MS) * 10 / RETRY_AFTER_JITTER_MS)
         for one in returns
     ]
     busiest = max(tenths.count(tenth) for tenth in range(10))
