--- a/src/amaranthrail/policy/queueing.py
+++ b/src/amaranthrail/policy/queueing.py
@@ -8,13 +8,13 @@
 
 from ..manifest import Policies, QueuePolicy
 
-#: Waiting for this many times its own cost lifts work before all that is
+#: QueuedWork for this many times its own cost lifts work before all that is
 #: fresh and as short as it pleases.
 AGEING_FACTOR = 2.0
 
 
 @dataclass(slots=True)
-class Waiting:
+class QueuedWork:
     """Describe one piece of waiting work; times in milliseconds."""
 
     arrived_at: float
@@ -24,7 +24,7 @@
 
 #: Returns the index of the work to start next, None to leave the slot free.
 #: Takes the waiting work, the slots in use by long work, all slots, the time.
-QueueOrder = Callable[[Sequence[Waiting], int, int, float], int | None]
+QueueOrder = Callable[[Sequence[QueuedWork], int, int, float], int | None]
 
 
 def make_queue_order(policies: Policies) -> QueueOrder:
@@ -40,7 +40,7 @@
 
 
 def _first_in(
-    waiting: Sequence[Waiting],
+    waiting: Sequence[QueuedWork],
     _running_long: int,
     _slots: int,
     _now: float,
@@ -50,7 +50,7 @@
 
 def _short_first(long_share: float) -> QueueOrder:
     def choose(
-        waiting: Sequence[Waiting],
+        waiting: Sequence[QueuedWork],
         running_long: int,
         slots: int,
         now: float,
@@ -70,6 +70,6 @@
     return choose
 
 
-def _urgency(work: Waiting, now: float) -> float:
+def _urgency(work: QueuedWork, now: float) -> float:
     """Return the cost still to be aged away; the lowest goes first."""
     return work.cost_ms - (now - work.arrived_at) / AGEING_FACTOR
--- a/src/amaranthrail/sidecar/slots.py
+++ b/src/amaranthrail/sidecar/slots.py
@@ -10,7 +10,7 @@
 from ..clock import Clock
 from ..manifest import Policies
 from ..policy.loads import Work
-from ..policy.queueing import QueueOrder, Waiting, make_queue_order
+from ..policy.queueing import QueuedWork, QueueOrder, make_queue_order
 
 #: Work that outruns its estimate is expected to take this share of it still.
 _LEAST_LEFT = 0.1
@@ -24,9 +24,9 @@
         self._clock = clock
         self._count = count
         self._order: QueueOrder = make_queue_order(Policies())
-        self._waiting: list[Waiting] = []
+        self._waiting: list[QueuedWork] = []
         self._turns: list[trio.Event] = []
-        self._running: dict[int, tuple[Waiting, float]] = {}
+        self._running: dict[int, tuple[QueuedWork, float]] = {}
         self._running_long = 0
 
     @property
@@ -62,7 +62,7 @@
         return Work(len(costs), sum(costs))
 
     @asynccontextmanager
-    async def hold(self, work: Waiting) -> AsyncIterator[None]:
+    async def hold(self, work: QueuedWork) -> AsyncIterator[None]:
         """Wait for a slot and hold it; leaving the queue is by cancel."""
         await self._wait_turn(work)
         try:
@@ -70,7 +70,7 @@
         finally:
             self._release(work)
 
-    async def _wait_turn(self, work: Waiting) -> None:
+    async def _wait_turn(self, work: QueuedWork) -> None:
         turn = trio.Event()
         self._waiting.append(work)
         self._turns.append(turn)
@@ -86,7 +86,7 @@
                 self._remove(turn)
             raise
 
-    def _release(self, work: Waiting) -> None:
+    def _release(self, work: QueuedWork) -> None:
         del self._running[id(work)]
         self._running_long -= work.long
         self._start_next()
--- a/src/amaranthrail/sidecar/worker.py
+++ b/src/amaranthrail/sidecar/worker.py
@@ -11,7 +11,7 @@
 from ..exceptions import HttpError
 from ..logs import part_logger
 from ..outcomes import Reason, Refusal, not_run, unknown
-from ..policy.queueing import Waiting
+from ..policy.queueing import QueuedWork
 from ..runtime import Runtime
 from ..types import HeaderList
 from .run import MAX_KEYED_BYTES, Run
@@ -61,7 +61,7 @@
         self._note_end(run)
 
     async def _queue_and_call(self, run: Run) -> None:
-        work = Waiting(
+        work = QueuedWork(
             run.arrived_at,
             run.dispatch.cost_ms,
             run.dispatch.long,
