--- a/src/amaranthrail/entry/core.py
+++ b/src/amaranthrail/entry/core.py
@@ -8,7 +8,7 @@
 from ..configuration import InForce
 from ..manifest import AdmissionPolicy, Service
 from ..outcomes import Reason, Refusal, not_run
-from ..policy.admission import Demand, FairShares, admit
+from ..policy.admission import AdmissionRequest, FairShares, admit
 from ..policy.balancing import Balancer, make_balancer
 from ..policy.retries import RetryBudget
 from ..runtime import Runtime
@@ -151,7 +151,7 @@
         *,
         admitted: bool,
     ) -> Refusal | None:
-        demand = Demand(
+        demand = AdmissionRequest(
             call.organisation.name,
             call.size.cost_ms,
             call.left_ms(self._runtime.clock),
--- a/src/amaranthrail/policy/admission.py
+++ b/src/amaranthrail/policy/admission.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Demand:
+class AdmissionRequest:
     """Describe a request that asks to be admitted.
 
     ``wait_ms`` is the expected wait at the replica it would go to.
@@ -90,7 +90,7 @@
 
 
 def admit(
-    demand: Demand,
+    demand: AdmissionRequest,
     shares: FairShares,
     weights: dict[str, float],
 ) -> Refusal | None:
