--- a/src/amaranthrail/entry/core.py
+++ b/src/amaranthrail/entry/core.py
@@ -8,7 +8,7 @@
 from ..configuration import InForce
 from ..manifest import AdmissionPolicy, Service
 from ..outcomes import Reason, Refusal, not_run
-from ..policy.admission import AdmissionRequest, FairShares, admit
+from ..policy.admission import AdmissionRequest, FairShares, check_admission
 from ..policy.balancing import Balancer, make_balancer
 from ..policy.retries import RetryBudget
 from ..runtime import Runtime
@@ -159,7 +159,7 @@
         )
         shares = FairShares() if admitted else self._shares
         weights = self.routes.weights if self.routes else {}
-        return admit(demand, shares, weights)
+        return check_admission(demand, shares, weights)
 
     def _picker(self, service: Service) -> Balancer:
         pickers = self._policies.pickers
--- a/src/amaranthrail/policy/admission.py
+++ b/src/amaranthrail/policy/admission.py
@@ -89,7 +89,7 @@
         return wanted > max(allowed, cost_ms)
 
 
-def admit(
+def check_admission(
     demand: AdmissionRequest,
     shares: FairShares,
     weights: dict[str, float],
