--- a/src/amaranthrail/entry/callers.py
+++ b/src/amaranthrail/entry/callers.py
@@ -57,7 +57,10 @@
     async def _serve(self, call: Call, reply: Reply) -> None:
         organisation = call.organisation.name
         shares = self._core.shares
-        if shares.count(organisation) >= call.organisation.limits.concurrent:
+        if (
+            shares.in_progress_count(organisation)
+            >= call.organisation.limits.concurrent
+        ):
             refusal = not_run(
                 Reason.ORGANISATION_LIMIT,
                 f'{organisation} has all it may have in progress',
--- a/src/amaranthrail/policy/admission.py
+++ b/src/amaranthrail/policy/admission.py
@@ -46,14 +46,14 @@
         """Return the work that an organisation has in progress."""
         return self._held.get(organisation, 0)
 
-    def count(self, organisation: str) -> int:
+    def in_progress_count(self, organisation: str) -> int:
         """Return how many requests an organisation has in progress."""
         return self._counts.get(organisation, 0)
 
     def take(self, organisation: str, cost_ms: float) -> None:
         """Count work in."""
         self._held[organisation] = self.held(organisation) + cost_ms
-        self._counts[organisation] = self.count(organisation) + 1
+        self._counts[organisation] = self.in_progress_count(organisation) + 1
         self._total += cost_ms
 
     def give_back(self, organisation: str, cost_ms: float) -> None:
