--- a/src/amaranthrail/entry/callers.py
+++ b/src/amaranthrail/entry/callers.py
@@ -69,7 +69,7 @@
             self._count(refusal)
             await send_refusal(reply, refusal)
             return
-        shares.take(organisation, call.size.cost_ms)
+        shares.add(organisation, call.size.cost_ms)
         try:
             await self._hand_on(call, reply)
         finally:
--- a/src/amaranthrail/policy/admission.py
+++ b/src/amaranthrail/policy/admission.py
@@ -50,7 +50,7 @@
         """Return how many requests an organisation has in progress."""
         return self._counts.get(organisation, 0)
 
-    def take(self, organisation: str, cost_ms: float) -> None:
+    def add(self, organisation: str, cost_ms: float) -> None:
         """Count work in."""
         self._held[organisation] = self.held(organisation) + cost_ms
         self._counts[organisation] = self.in_progress_count(organisation) + 1
