--- a/src/amaranthrail/entry/callers.py
+++ b/src/amaranthrail/entry/callers.py
@@ -73,7 +73,7 @@
         try:
             await self._hand_on(call, reply)
         finally:
-            shares.give_back(organisation, call.size.cost_ms)
+            shares.remove(organisation, call.size.cost_ms)
 
     async def _hand_on(self, call: Call, reply: Reply) -> None:
         if call.route.operation.idempotent:
--- a/src/amaranthrail/policy/admission.py
+++ b/src/amaranthrail/policy/admission.py
@@ -56,7 +56,7 @@
         self._counts[organisation] = self.in_progress_count(organisation) + 1
         self._total += cost_ms
 
-    def give_back(self, organisation: str, cost_ms: float) -> None:
+    def remove(self, organisation: str, cost_ms: float) -> None:
         """Count work out; every take is matched on every way out."""
         self._total -= cost_ms
         self._counts[organisation] -= 1
