--- a/src/amaranthrail/entry/call.py
+++ b/src/amaranthrail/entry/call.py
@@ -8,7 +8,7 @@
 from ..clock import Clock
 from ..frames import Dispatch
 from ..manifest import Organisation
-from ..policy.sizes import Size
+from ..policy.sizes import SizeEstimate
 from ..types import (
     KEY_HEADER,
     FilingKey,
@@ -47,7 +47,7 @@
     request: HttpRequest
     organisation: Organisation
     route: Route
-    size: Size
+    size: SizeEstimate
     deadline: float
     label: str
 
--- a/src/amaranthrail/entry/callers.py
+++ b/src/amaranthrail/entry/callers.py
@@ -10,7 +10,7 @@
 from ..adapters.problem import send_refusal
 from ..outcomes import Reason, Refusal, not_run
 from ..policy.sizes import (
-    Size,
+    SizeEstimate,
     parse_model_call,
     size_model_call,
     size_operation,
@@ -118,7 +118,7 @@
 def _route(
     routes: RouteTable,
     request: HttpRequest,
-) -> tuple[Route, Size] | Refusal:
+) -> tuple[Route, SizeEstimate] | Refusal:
     if request.path in MODEL_PATHS and request.method == 'POST':
         return _model_route(routes, request)
     route = routes.plain(request.method, request.path)
@@ -130,7 +130,7 @@
 def _model_route(
     routes: RouteTable,
     request: HttpRequest,
-) -> tuple[Route, Size] | Refusal:
+) -> tuple[Route, SizeEstimate] | Refusal:
     model_call = parse_model_call(request.body)
     if model_call is None:
         return not_run(
--- a/src/amaranthrail/policy/sizes.py
+++ b/src/amaranthrail/policy/sizes.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Size:
+class SizeEstimate:
     """Hold the expected time in a slot and whether the work is long."""
 
     cost_ms: float
@@ -51,12 +51,12 @@
     return call if call.max_tokens > 0 else None
 
 
-def size_model_call(call: ModelCall, policies: Policies) -> Size:
+def size_model_call(call: ModelCall, policies: Policies) -> SizeEstimate:
     """Estimate a completion from its prompt's length and its token bound."""
     text = call.text()
     prompt_tokens = len(text) / _CHARS_PER_TOKEN
     tokens = call.max_tokens + _PROMPT_TOKEN_SHARE * prompt_tokens
-    return Size(
+    return SizeEstimate(
         cost_ms=tokens * policies.token_ms,
         long=tokens > policies.long_tokens,
         prefix=text[:_PREFIX_CHARS],
@@ -64,6 +64,6 @@
     )
 
 
-def size_operation(operation: Operation) -> Size:
+def size_operation(operation: Operation) -> SizeEstimate:
     """Return the size that the manifest states for a plain operation."""
-    return Size(operation.cost_ms, operation.size is SizeClass.LONG)
+    return SizeEstimate(operation.cost_ms, operation.size is SizeClass.LONG)
