--- a/src/amaranthrail/entry/callers.py
+++ b/src/amaranthrail/entry/callers.py
@@ -11,7 +11,7 @@
 from ..outcomes import Reason, Refusal, not_run
 from ..policy.sizes import (
     SizeEstimate,
-    parse_model_call,
+    parse_completion,
     size_model_call,
     size_operation,
 )
@@ -131,7 +131,7 @@
     routes: RouteTable,
     request: HttpRequest,
 ) -> tuple[Route, SizeEstimate] | Refusal:
-    model_call = parse_model_call(request.body)
+    model_call = parse_completion(request.body)
     if model_call is None:
         return not_run(
             Reason.BAD_REQUEST,
--- a/src/amaranthrail/policy/sizes.py
+++ b/src/amaranthrail/policy/sizes.py
@@ -42,7 +42,7 @@
     tokens: int = 0
 
 
-def parse_model_call(body: bytes) -> ModelCall | None:
+def parse_completion(body: bytes) -> ModelCall | None:
     """Return what a completion request asks for, None if it is not valid."""
     try:
         call = msgspec.json.decode(body, type=ModelCall)
