--- a/src/amaranthrail/entry/callers.py
+++ b/src/amaranthrail/entry/callers.py
@@ -11,8 +11,8 @@
 from ..outcomes import Reason, Refusal, not_run
 from ..policy.sizes import (
     SizeEstimate,
+    estimate_completion,
     parse_completion,
-    size_model_call,
     size_operation,
 )
 from ..types import KEY_HEADER
@@ -141,7 +141,7 @@
     route = routes.model(model_call.model, request.path)
     if route is None:
         return not_run(Reason.NO_ROUTE, f'no model {model_call.model!r:.80}')
-    return route, size_model_call(model_call, route.service.policies)
+    return route, estimate_completion(model_call, route.service.policies)
 
 
 def _deadline_ms(request: HttpRequest, route: Route) -> float | Refusal:
--- a/src/amaranthrail/policy/sizes.py
+++ b/src/amaranthrail/policy/sizes.py
@@ -51,7 +51,7 @@
     return call if call.max_tokens > 0 else None
 
 
-def size_model_call(call: ModelCall, policies: Policies) -> SizeEstimate:
+def estimate_completion(call: ModelCall, policies: Policies) -> SizeEstimate:
     """Estimate a completion from its prompt's length and its token bound."""
     text = call.text()
     prompt_tokens = len(text) / _CHARS_PER_TOKEN
