--- a/src/amaranthrail/entry/callers.py
+++ b/src/amaranthrail/entry/callers.py
@@ -12,8 +12,8 @@
 from ..policy.sizes import (
     SizeEstimate,
     estimate_completion,
+    estimate_operation,
     parse_completion,
-    size_operation,
 )
 from ..types import KEY_HEADER
 from .call import Call
@@ -124,7 +124,7 @@
     route = routes.plain(request.method, request.path)
     if route is None:
         return not_run(Reason.NO_ROUTE, f'no service at {request.path!r:.120}')
-    return route, size_operation(route.operation)
+    return route, estimate_operation(route.operation)
 
 
 def _model_route(
--- a/src/amaranthrail/policy/sizes.py
+++ b/src/amaranthrail/policy/sizes.py
@@ -64,6 +64,6 @@
     )
 
 
-def size_operation(operation: Operation) -> SizeEstimate:
+def estimate_operation(operation: Operation) -> SizeEstimate:
     """Return the size that the manifest states for a plain operation."""
     return SizeEstimate(operation.cost_ms, operation.size is SizeClass.LONG)
