--- a/bench/skew.py
+++ b/bench/skew.py
@@ -123,7 +123,7 @@
     result: Result,
 ) -> ExpertMap:
     measured = GroupLoad(
-        tuple(load * source.gauss(1, NOISE) for load in truth.experts),
+        tuple(load * source.gauss(1, NOISE) for load in truth.expert_loads),
         truth.speeds,
     )
     planned = planner(placement, measured)
@@ -154,13 +154,13 @@
 def from_scratch(_placement: ExpertMap, load: GroupLoad) -> ExpertMap:
     """Place the heaviest expert first on the rank that ends up soonest."""
     times = [0.0 for _ in load.speeds]
-    ranks = [0 for _ in load.experts]
+    ranks = [0 for _ in load.expert_loads]
     for expert in sorted(
-        range(len(load.experts)),
-        key=lambda one: load.experts[one],
+        range(len(load.expert_loads)),
+        key=lambda one: load.expert_loads[one],
         reverse=True,
     ):
-        weight = load.experts[expert]
+        weight = load.expert_loads[expert]
         ends = [
             time + weight / speed
             for time, speed in zip(times, load.speeds, strict=True)
--- a/src/amaranthrail/policy/experts.py
+++ b/src/amaranthrail/policy/experts.py
@@ -34,7 +34,7 @@
     speed 1.
     """
 
-    experts: tuple[float, ...]
+    expert_loads: tuple[float, ...]
     speeds: tuple[float, ...]
 
 
@@ -72,8 +72,8 @@
 
 def lower_bound_ms(load: GroupLoad) -> float:
     """Return a step time that no map can beat."""
-    total = sum(load.experts) / sum(load.speeds)
-    heaviest = max(load.experts) / max(load.speeds)
+    total = sum(load.expert_loads) / sum(load.speeds)
+    heaviest = max(load.expert_loads) / max(load.speeds)
     return max(total, heaviest)
 
 
@@ -148,14 +148,14 @@
 ) -> list[_Change]:
     """Return the move of an expert to each rank, and each swap for it."""
     source = ranks[expert]
-    weight = load.experts[expert]
+    weight = load.expert_loads[expert]
     found = []
     for target, _ in enumerate(times):
         if target != source:
             changed = _shifted(times, load, (source, target), weight)
             found.append(_Change({expert: target}, max(changed)))
     for other, target in enumerate(ranks):
-        lighter = load.experts[other]
+        lighter = load.expert_loads[other]
         if target != source and lighter < weight:
             shift = weight - lighter
             changed = _shifted(times, load, (source, target), shift)
@@ -180,5 +180,5 @@
 def _rank_times(placement: ExpertMap, load: GroupLoad) -> list[float]:
     times = [0.0 for _ in load.speeds]
     for expert, rank in enumerate(placement.ranks):
-        times[rank] += load.experts[expert] / load.speeds[rank]
+        times[rank] += load.expert_loads[expert] / load.speeds[rank]
     return times
