--- a/src/amaranthrail/policy/balancing.py
+++ b/src/amaranthrail/policy/balancing.py
@@ -1,4 +1,4 @@
-"""Pick the replica that a request goes to."""
+"""Choose the replica of a request under the service's balancing policy."""
 
 from __future__ import annotations
 
@@ -11,84 +11,88 @@
 
 from ..manifest import PickPolicy
 
-#: A replica keeps its prefixes' requests while it has at most this many times
-#: the mean work of all, and a little on top for when there is next to none.
+#: Bound on the backlog of the replica that prefix affinity chooses: this factor
+#: times the mean backlog, plus a slack in ms for when the mean is close to 0.
 AFFINITY_LOAD_BOUND = 1.25
 AFFINITY_SLACK_MS = 250.0
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """Describe one replica that could take a request.
+    """Describe one replica that could serve a request.
 
     ``wait_ms`` is the expected time until the request would start there,
-    ``busy_ms`` the time to finish all that is there, over all its slots.
+    ``backlog_ms`` the expected time until all its slots have finished all work.
     """
 
     name: str
     wait_ms: float
-    busy_ms: float = 0
+    backlog_ms: float = 0
 
 
+#: Returns the replica for a request from the candidates, of which there must be
+#: at least one, and the prefix of its prompt, which may be empty.
 Balancer = Callable[[Sequence[Candidate], str], Candidate]
 
 
-def make_balancer(policy: PickPolicy, source: random.Random) -> Balancer:
-    """Return the function that picks under a policy.
+def make_balancer(policy: PickPolicy, rng: random.Random) -> Balancer:
+    """Return the function that chooses replicas under a policy.
 
-    It takes the candidates, at least one, and the request's prefix, which
-    only affinity looks at.
+    Only the affinity policy uses the prefix.
     """
     if policy is PickPolicy.ROUND_ROBIN:
         return _round_robin()
     if policy is PickPolicy.AFFINITY:
-        return _affinity(source)
-    return _two_choices(source)
+        return _affinity(rng)
+    return _two_choices(rng)
 
 
 def _round_robin() -> Balancer:
     turns = itertools.count()
 
-    def pick(candidates: Sequence[Candidate], _prefix: str) -> Candidate:
+    def choose(candidates: Sequence[Candidate], _prefix: str) -> Candidate:
         return candidates[next(turns) % len(candidates)]
 
-    return pick
+    return choose
 
 
-def _two_choices(source: random.Random) -> Balancer:
-    def pick(candidates: Sequence[Candidate], _prefix: str) -> Candidate:
+def _two_choices(rng: random.Random) -> Balancer:
+    def choose(candidates: Sequence[Candidate], _prefix: str) -> Candidate:
         if len(candidates) == 1:
             return candidates[0]
-        pair = source.sample(candidates, 2)
-        return min(pair, key=_work_of)
+        pair = rng.sample(candidates, 2)
+        return min(pair, key=_load_key)
 
-    return pick
+    return choose
 
 
-def _affinity(source: random.Random) -> Balancer:
-    spread = _two_choices(source)
+def _affinity(rng: random.Random) -> Balancer:
+    fallback = _two_choices(rng)
 
-    def pick(candidates: Sequence[Candidate], prefix: str) -> Candidate:
+    def choose(candidates: Sequence[Candidate], prefix: str) -> Candidate:
         if not prefix:
-            return spread(candidates, prefix)
-        mean = sum(one.busy_ms for one in candidates) / len(candidates)
-        bound = AFFINITY_LOAD_BOUND * mean + AFFINITY_SLACK_MS
-        fitting = [
-            one
-            for one in candidates
-            if not one.wait_ms and one.busy_ms <= bound
+            return fallback(candidates, prefix)
+        mean_ms = sum(each.backlog_ms for each in candidates) / len(candidates)
+        bound_ms = AFFINITY_LOAD_BOUND * mean_ms + AFFINITY_SLACK_MS
+        eligible = [
+            candidate
+            for candidate in candidates
+            if not candidate.wait_ms and candidate.backlog_ms <= bound_ms
         ]
-        if not fitting:
-            return spread(candidates, prefix)
-        return max(fitting, key=lambda one: rendezvous_score(prefix, one.name))
+        if not eligible:
+            return fallback(candidates, prefix)
+        return max(
+            eligible,
+            key=lambda candidate: rendezvous_score(prefix, candidate.name),
+        )
 
-    return pick
+    return choose
 
 
-def _work_of(candidate: Candidate) -> tuple[float, float]:
-    return candidate.wait_ms, candidate.busy_ms
+def _load_key(candidate: Candidate) -> tuple[float, float]:
+    return candidate.wait_ms, candidate.backlog_ms
 
 
-def rendezvous_score(subject: str, node: str) -> int:
-    """Return the rank of a node for a subject; the highest is its home."""
-    return xxhash.xxh3_64_intdigest(f'{subject}\0{node}'.encode())
+def rendezvous_score(key: str, node: str) -> int:
+    """Return the rendezvous hash, 64 bits; a key's highest node owns it."""
+    return xxhash.xxh3_64_intdigest(f'{key}\0{node}'.encode())
--- a/src/amaranthrail/policy/subset.py
+++ b/src/amaranthrail/policy/subset.py
@@ -1,4 +1,4 @@
-"""Choose the replicas that one entry keeps connections to."""
+"""Choose the subset of replicas that one entry keeps connections to."""
 
 from __future__ import annotations
 
@@ -15,22 +15,23 @@
     hosts: Sequence[HostRecord],
     size: int,
 ) -> list[HostRecord]:
-    """Return up to ``size`` hosts, spread evenly over failure domains.
+    """Return up to ``size`` hosts, balanced over their failure domains.
 
-    The choice depends on the names alone, so that a host that comes or goes
-    moves few connections. All hosts must be of one service.
+    The choice is made by rendezvous hashing of the names alone, so that a host
+    that is added or removed changes few connections. All hosts must be of one
+    service.
     """
     by_domain: dict[str, list[HostRecord]] = {}
     for host in hosts:
         by_domain.setdefault(host.domain, []).append(host)
     domains = sorted(by_domain, key=partial(rendezvous_score, entry))
-    columns = [_ranked(entry, by_domain[domain]) for domain in domains]
-    spread = itertools.chain.from_iterable(itertools.zip_longest(*columns))
-    return list(itertools.islice(filter(None, spread), size))
+    columns = [_by_score(entry, by_domain[domain]) for domain in domains]
+    interleaved = itertools.chain.from_iterable(itertools.zip_longest(*columns))
+    return list(itertools.islice(filter(None, interleaved), size))
 
 
-def _ranked(entry: str, hosts: list[HostRecord]) -> list[HostRecord]:
-    def rank(host: HostRecord) -> int:
+def _by_score(entry: str, hosts: list[HostRecord]) -> list[HostRecord]:
+    def score(host: HostRecord) -> int:
         return rendezvous_score(entry, host.upstream)
 
-    return sorted(hosts, key=rank, reverse=True)
+    return sorted(hosts, key=score, reverse=True)
