--- a/src/amaranthrail/policy/streamadmission.py
+++ b/src/amaranthrail/policy/streamadmission.py
@@ -1,33 +1,36 @@
-"""Decide at the crest which streams begin now and which return later.
+"""Decide at a load peak which new streams to admit and which to refuse.
 
-Load pattern: a wave with bursts on top asks for more streams than engines can
-write in time, for seconds. An engine that is full lets new streams wait and
-writes all of them more slowly, so that everyone is late; callers that are told
-to return meet the wave's other side and have most of their time left. Another
-one: a single slow rank makes each pass of its group ten times as long, and a
-stream that cannot end before its deadline only keeps others from ending.
+Load pattern: a load peak with bursts on top asks for more streams than the
+engines can generate in time, for several seconds. A full engine queues new
+streams and generates all streams more slowly, so that every stream is late.
+Callers that are told to retry later arrive after the peak and have most of
+their time left. Another pattern: one slow rank makes each step of its group ten
+times as long, and a stream that cannot end before its deadline only delays the
+others.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-#: Work per slot up to which streams of fresh callers begin, and those of
-#: callers that were refused before or go on with a stream.
-FRESH_LOAD = 1.0
-RETURNED_LOAD = 1.6
-#: Part of a stream's expected length that must fit into the time left; half of
-#: all streams are shorter than expected.
-SURE_LENGTH_SHARE = 0.5
-#: Part of the route's time from which a caller counts as fresh.
-FRESH_TIME_SHARE = 0.85
+#: Highest load per slot at which streams are admitted: on a caller's first
+#: request, and on one that retries after a refusal or resumes a stream.
+MAX_FIRST_REQUEST_LOAD = 1.0
+MAX_RETRY_LOAD = 1.6
+#: Fraction of a stream's expected length that must fit into the time left;
+#: half of all streams are shorter than expected.
+REQUIRED_LENGTH_SHARE = 0.5
+#: A request that has more than this fraction of the route's timeout left is
+#: its caller's first.
+FIRST_REQUEST_TIME_SHARE = 0.85
 
 
 class EngineLoad(msgspec.Struct, frozen=True):
-    """Describe how engines stand when a stream asks for one.
+    """Describe the load of a service's engines when a stream is requested.
 
-    ``least_load`` is the work per slot of the least loaded engine with the new
-    stream, ``step_ms`` the time of a pass lately, None where no stream runs.
+    ``least_load`` is the work per slot of the least loaded engine, the new
+    stream included. ``step_ms`` is the recent duration of an engine step, None
+    if no stream is running.
     """
 
     least_load: float
@@ -35,10 +38,12 @@
 
 
 class StreamRequest(msgspec.Struct, frozen=True):
-    """Describe a stream that a caller asks for.
+    """Describe a caller's request for a stream; times in milliseconds.
 
-    ``steps`` is the expected number of steps that write all of it, 0 if
-    unknown; ``is_resumed`` says that its caller has the begin of it.
+    ``remaining_ms`` is the time to its deadline and ``route_timeout_ms`` the
+    timeout of its route. ``steps`` is the expected number of engine steps that
+    generate the whole stream, 0 if unknown. ``is_resumed`` says that the caller
+    already has the beginning of the stream.
     """
 
     remaining_ms: float
@@ -47,20 +52,23 @@
     is_resumed: bool = False
 
     @property
-    def is_fresh(self) -> bool:
-        """Tell whether the caller comes for the first time."""
+    def is_first_request(self) -> bool:
+        """Tell from the time left that the caller was not refused before."""
         return (
             not self.is_resumed
-            and self.remaining_ms > FRESH_TIME_SHARE * self.route_timeout_ms
+            and self.remaining_ms
+            > FIRST_REQUEST_TIME_SHARE * self.route_timeout_ms
         )
 
 
-def should_admit_stream(wish: StreamRequest, crest: EngineLoad) -> bool:
-    """Tell whether a stream is admitted now; otherwise its caller returns."""
-    # How much of a stream is left is not known.
-    if crest.step_ms is not None and not wish.is_resumed:
-        sure_ms = SURE_LENGTH_SHARE * wish.steps * crest.step_ms
-        if sure_ms > wish.remaining_ms:
+def should_admit_stream(request: StreamRequest, load: EngineLoad) -> bool:
+    """Tell whether to admit a stream now or tell its caller to retry later."""
+    # The remaining length of a resumed stream is unknown.
+    if load.step_ms is not None and not request.is_resumed:
+        required_ms = REQUIRED_LENGTH_SHARE * request.steps * load.step_ms
+        if required_ms > request.remaining_ms:
             return False
-    limit = FRESH_LOAD if wish.is_fresh else RETURNED_LOAD
-    return crest.least_load <= limit
+    limit = (
+        MAX_FIRST_REQUEST_LOAD if request.is_first_request else MAX_RETRY_LOAD
+    )
+    return load.least_load <= limit
