--- a/src/amaranthrail/policy/demand.py
+++ b/src/amaranthrail/policy/demand.py
@@ -1,8 +1,8 @@
-"""Estimate which experts are in demand from counts that only grow.
+"""Estimate the current demand for each expert from cumulative token counts.
 
-Load pattern: which experts are liked changes by more than half every few
-seconds. What was chosen a second ago says more than all that was before, and
-what was chosen before a change of demand says nothing.
+Load pattern: the share of tokens routed to each expert changes by more than
+half every few seconds. The tokens of the last second say more than all before
+them, and tokens routed before a shift of demand say nothing.
 """
 
 from __future__ import annotations
@@ -11,77 +11,87 @@
 import operator
 from collections.abc import Sequence
 
-#: Time in which past choices lose half their weight, in ms: demand changes
-#: every three to four seconds on the users' sheets.
+#: Time after which a token's weight has halved, in ms. Demand shifts every
+#: three to four seconds, according to the users' specifications.
 DEMAND_HALF_LIFE_MS = 700.0
-#: Likeness of a reading to those before, 1 for equal proportions, below which
-#: demand has changed: readings of one rank are like those of all to 0.89 and
-#: more, across a change to 0.7 at most.
-CHANGED_LIKENESS = 0.8
-#: Choices an expert, in the mean, below which an estimate is too rough.
-MIN_MEAN_CHOICES = 30.0
+#: Cosine similarity of a reading to the readings before it, 1 for equal
+#: proportions, below which demand has shifted. Readings of one rank have a
+#: similarity of 0.89 and more to those of all ranks, and of 0.7 at most across
+#: a shift.
+MIN_SIMILARITY = 0.8
+#: Weighted tokens per expert, on average, below which the estimate is too
+#: inaccurate to plan with.
+MIN_MEAN_TOKENS = 30.0
 
 
 class ExpertDemand:
-    """Sum up recent choices of all experts over the ranks of a group."""
+    """Sum the recent tokens of each expert over the ranks of a group.
+
+    Experts are numbered across all layer sets: those of the first set come
+    first.
+    """
 
     def __init__(self, sets: int, experts: int) -> None:
-        """Take the shape of the counts."""
+        """Set the number of layer sets and of the experts in each of them."""
         self._experts = experts
         self._weights = [0.0 for _ in range(sets * experts)]
-        self._seen: dict[int, tuple[int, ...]] = {}
-        self._aged_at: float | None = None
+        self._last_counts: dict[int, tuple[int, ...]] = {}
+        self._decayed_at: float | None = None
 
     @property
     def has_enough_counts(self) -> bool:
-        """Tell whether enough has been chosen to judge by."""
-        wanted = MIN_MEAN_CHOICES * len(self._weights)
-        return sum(self._weights) >= wanted
+        """Tell whether enough tokens were counted to plan with."""
+        required = MIN_MEAN_TOKENS * len(self._weights)
+        return sum(self._weights) >= required
 
     def layer_set_weights(self, index: int) -> Sequence[float]:
-        """Return the weight of each expert of a set."""
+        """Return the decayed token count of each expert of a layer set."""
         first = index * self._experts
         return self._weights[first : first + self._experts]
 
     def reset(self) -> None:
-        """Begin anew; the group has formed again."""
-        self._seen.clear()
+        """Discard all counts; called when the group has a new epoch."""
+        self._last_counts.clear()
         self._weights = [0.0 for _ in self._weights]
 
     def decay(self, now: float) -> None:
-        """Let past choices lose weight."""
-        if self._aged_at is not None:
-            part = 0.5 ** ((now - self._aged_at) / DEMAND_HALF_LIFE_MS)
-            self._weights = [part * weight for weight in self._weights]
-        self._aged_at = now
-
-    def update_counts(self, rank: int, chosen: tuple[int, ...]) -> None:
-        """Take a rank's counts; what they grew by counts as new."""
-        earlier = self._seen.get(rank)
-        if len(chosen) != len(self._weights):
+        """Reduce the weight of past tokens; ``now`` is in ms."""
+        if self._decayed_at is not None:
+            factor = 0.5 ** ((now - self._decayed_at) / DEMAND_HALF_LIFE_MS)
+            self._weights = [factor * weight for weight in self._weights]
+        self._decayed_at = now
+
+    def update_counts(self, rank: int, counts: tuple[int, ...]) -> None:
+        """Add the increase of a rank's cumulative counts since its last ones.
+
+        Counts of another length than this group's are ignored.
+        """
+        previous = self._last_counts.get(rank)
+        if len(counts) != len(self._weights):
             return
-        self._seen[rank] = chosen
-        if earlier is None or sum(chosen) < sum(earlier):
-            # A first look has no age; a lower count is that of a fresh start.
+        self._last_counts[rank] = counts
+        if previous is None or sum(counts) < sum(previous):
+            # The first counts of a rank may span any time, and lower counts
+            # show that the rank has restarted.
             return
-        pairs = zip(chosen, earlier, strict=True)
-        grown = [now - before for now, before in pairs]
+        pairs = zip(counts, previous, strict=True)
+        increases = [count - before for count, before in pairs]
         if (
             self.has_enough_counts
-            and _likeness(grown, self._weights) < CHANGED_LIKENESS
+            and _cosine_similarity(increases, self._weights) < MIN_SIMILARITY
         ):
             self._weights = [0.0 for _ in self._weights]
         self._weights = [
-            weight + max(0, more)
-            for weight, more in zip(self._weights, grown, strict=True)
+            weight + max(0, increase)
+            for weight, increase in zip(self._weights, increases, strict=True)
         ]
 
 
-def _likeness(one: Sequence[float], other: Sequence[float]) -> float:
-    """Return the cosine of two lists of counts, 1 where either is empty."""
-    lengths = math.sqrt(_product(one, one) * _product(other, other))
-    return _product(one, other) / lengths if lengths else 1.0
+def _cosine_similarity(left: Sequence[float], right: Sequence[float]) -> float:
+    """Return the cosine of two lists of counts, 1 where either is all 0."""
+    lengths = math.sqrt(_dot(left, left) * _dot(right, right))
+    return _dot(left, right) / lengths if lengths else 1.0
 
 
-def _product(one: Sequence[float], other: Sequence[float]) -> float:
-    return float(sum(map(operator.mul, one, other)))
+def _dot(left: Sequence[float], right: Sequence[float]) -> float:
+    return float(sum(map(operator.mul, left, right)))
--- a/src/amaranthrail/policy/expertplan.py
+++ b/src/amaranthrail/policy/expertplan.py
@@ -1,8 +1,8 @@
-"""Plan which ranks of a group hold which experts, with copies of hot ones.
+"""Plan which ranks hold replicas of which experts, for one layer set at a time.
 
-Load pattern: a few experts of each layer set draw most tokens, and which ones
-changes by more than half every few seconds. All ranks wait for the most loaded
-one in each set, so its load alone decides how long a pass takes.
+Load pattern: a few experts of each layer set are routed most tokens, and which
+ones changes by more than half every few seconds. All ranks wait for the most
+loaded one in each layer set, so its load alone decides how long a step takes.
 """
 
 from __future__ import annotations
@@ -14,81 +14,94 @@
 import msgspec
 
 #: The experts of each rank in one layer set.
-SetPlacement = tuple[tuple[int, ...], ...]
+LayerSetPlacement = tuple[tuple[int, ...], ...]
 
-#: Load of the most loaded rank over the mean at which a set is left alone;
-#: below it each copy, which is billed, saves little.
-GOOD_SKEW = 1.15
-#: Experts of the most loaded rank, and least loaded ranks, that are tried.
-TRIED_EXPERTS = 3
-TRIED_RANKS = 4
-#: Least share of a set's squared load that a step must save.
-MIN_STEP_GAIN = 1e-4
+#: Load of the most loaded rank over the mean at which a layer set needs no
+#: change; below it each expert replica, whose transfer is billed, saves little.
+TARGET_SKEW = 1.15
+#: Number of the most loaded rank's experts that are tried, those of most load
+#: first, and of target ranks that are tried, those of least load first.
+MAX_TRIED_EXPERTS = 3
+MAX_TRIED_RANKS = 4
+#: Least fraction of a layer set's sum of squared loads that a change must save.
+MIN_RELATIVE_GAIN = 1e-4
 
 
 class PlanLimits(msgspec.Struct, frozen=True):
-    """Bound a plan: experts of a set on one rank, and new ones among them."""
+    """Bound a plan for one layer set.
+
+    ``placements`` is the most experts that a rank may hold, and ``spare`` the
+    most among them that it does not hold yet.
+    """
 
     placements: int
     spare: int
 
 
-class _Step(msgspec.Struct, frozen=True):
-    """Hold what one step adds and removes, as pairs of rank and expert."""
+class _Change(msgspec.Struct, frozen=True):
+    """Hold what one change adds and removes, as pairs of rank and expert."""
 
     added: tuple[tuple[int, int], ...]
     removed: tuple[tuple[int, int], ...] = ()
 
 
-def default_placement(experts: int, ranks: int) -> SetPlacement:
-    """Return the assignment in turn that a group is formed with."""
+def default_placement(experts: int, ranks: int) -> LayerSetPlacement:
+    """Return the round-robin placement that a group starts with."""
     return tuple(tuple(range(rank, experts, ranks)) for rank in range(ranks))
 
 
-def layer_set_skew(placement: SetPlacement, weights: Sequence[float]) -> float:
-    """Return the most loaded rank's load over the mean of all."""
-    return _Board(placement, weights).skew
+def layer_set_skew(
+    placement: LayerSetPlacement, weights: Sequence[float]
+) -> float:
+    """Return the most loaded rank's load over the mean, 1 without any load."""
+    return _PlanState(placement, weights).skew
 
 
 def plan_layer_set(
-    placement: SetPlacement,
+    placement: LayerSetPlacement,
     weights: Sequence[float],
     limits: PlanLimits,
-    source: random.Random,
-) -> SetPlacement:
-    """Return a better assignment of one set, or the same where none is found.
+    rng: random.Random,
+) -> LayerSetPlacement:
+    """Return a better placement, or the same one if none is found.
 
-    ``weights`` has the tokens of each expert. Steps that ease the most loaded
-    rank are taken one by one, always the one that saves most for each copy.
+    ``weights`` has the tokens of each expert. The plan is greedy: each change
+    reduces the load of the most loaded rank, and the one with the largest gain
+    per new expert replica is made first.
     """
-    board = _Board(placement, weights)
+    state = _PlanState(placement, weights)
     for _ in range(limits.spare * len(placement)):
-        if board.skew <= GOOD_SKEW:
+        if state.skew <= TARGET_SKEW:
             break
-        steps = list(_steps(board, placement, limits, source))
-        gains = [board.gain_per_copy(step) for step in steps]
+        changes = list(_candidate_changes(state, placement, limits, rng))
+        gains = [state.gain_per_replica(change) for change in changes]
         best = max(gains, default=0.0)
-        if best <= MIN_STEP_GAIN * board.squares:
+        if best <= MIN_RELATIVE_GAIN * state.sum_of_squares:
             break
-        board.take(steps[gains.index(best)])
-    return board.placement()
+        state.apply(changes[gains.index(best)])
+    return state.placement()
 
 
-class _Board:
-    """Hold a changing assignment of one set and the loads it makes."""
+class _PlanState:
+    """Hold the placement of one layer set while it is planned, and its loads.
+
+    The load of an expert is divided equally among its replicas.
+    """
 
     def __init__(
         self,
-        placement: SetPlacement,
+        placement: LayerSetPlacement,
         weights: Sequence[float],
     ) -> None:
         self.weights = weights
-        self.held = [set(experts) for experts in placement]
+        self.experts_of = [set(experts) for experts in placement]
         self.ranks_of: list[set[int]] = [set() for _ in weights]
         for rank, experts in enumerate(placement):
             for expert in experts:
                 self.ranks_of[expert].add(rank)
-        self.loads = [sum(map(self.share, held)) for held in self.held]
+        self.loads = [
+            sum(map(self.replica_load, held)) for held in self.experts_of
+        ]
 
     @property
     def skew(self) -> float:
@@ -96,132 +109,140 @@
         return max(self.loads) * len(self.loads) / total if total else 1.0
 
     @property
-    def squares(self) -> float:
+    def sum_of_squares(self) -> float:
         return sum(load * load for load in self.loads)
 
-    def share(self, expert: int) -> float:
+    def replica_load(self, expert: int) -> float:
         return self.weights[expert] / len(self.ranks_of[expert])
 
-    def copies(self, rank: int) -> list[int]:
-        """Return the experts of a rank that others hold too."""
+    def replicated_experts(self, rank: int) -> list[int]:
+        """Return the experts of a rank that other ranks hold too."""
         return [
             expert
-            for expert in sorted(self.held[rank])
+            for expert in sorted(self.experts_of[rank])
             if len(self.ranks_of[expert]) > 1
         ]
 
-    def placement(self) -> SetPlacement:
-        return tuple(tuple(sorted(experts)) for experts in self.held)
+    def placement(self) -> LayerSetPlacement:
+        return tuple(tuple(sorted(experts)) for experts in self.experts_of)
 
-    def gain(self, step: _Step) -> float:
-        """Return how much a step lowers the sum of squared loads."""
-        changes = self._changes(step)
+    def gain(self, change: _Change) -> float:
+        """Return by how much a change lowers the sum of squared loads."""
+        differences = self._load_differences(change)
         return -sum(
-            change * (2 * self.loads[rank] + change)
-            for rank, change in changes.items()
+            difference * (2 * self.loads[rank] + difference)
+            for rank, difference in differences.items()
         )
 
-    def gain_per_copy(self, step: _Step) -> float:
-        """Return a step's gain over the copies that it needs."""
-        return self.gain(step) / max(1, len(step.added))
+    def gain_per_replica(self, change: _Change) -> float:
+        """Return a change's gain per expert replica that it adds."""
+        return self.gain(change) / max(1, len(change.added))
 
-    def take(self, step: _Step) -> None:
-        for rank, change in self._changes(step).items():
-            self.loads[rank] += change
-        for rank, expert in step.removed:
-            self.held[rank].discard(expert)
+    def apply(self, change: _Change) -> None:
+        for rank, difference in self._load_differences(change).items():
+            self.loads[rank] += difference
+        for rank, expert in change.removed:
+            self.experts_of[rank].discard(expert)
             self.ranks_of[expert].discard(rank)
-        for rank, expert in step.added:
-            self.held[rank].add(expert)
+        for rank, expert in change.added:
+            self.experts_of[rank].add(expert)
             self.ranks_of[expert].add(rank)
 
-    def _changes(self, step: _Step) -> Counter[int]:
-        """Return how the loads of ranks change by a step."""
-        changes: Counter[int] = Counter()
-        moved = {expert for _, expert in (*step.added, *step.removed)}
-        for expert in moved:
-            added = {rank for rank, one in step.added if one == expert}
-            removed = {rank for rank, one in step.removed if one == expert}
+    def _load_differences(self, change: _Change) -> Counter[int]:
+        """Return by how much a change raises the load of each rank."""
+        differences: Counter[int] = Counter()
+        changed = {expert for _, expert in (*change.added, *change.removed)}
+        for expert in changed:
+            added = {rank for rank, each in change.added if each == expert}
+            removed = {rank for rank, each in change.removed if each == expert}
             before = self.ranks_of[expert]
             after = (before | added) - removed
-            share = self.weights[expert] / len(after)
-            changes.update(dict.fromkeys(after, share))
-            changes.subtract(dict.fromkeys(before, self.share(expert)))
-        return changes
+            load = self.weights[expert] / len(after)
+            differences.update(dict.fromkeys(after, load))
+            differences.subtract(
+                dict.fromkeys(before, self.replica_load(expert))
+            )
+        return differences
 
 
-def _steps(
-    board: _Board,
-    current: SetPlacement,
+def _candidate_changes(
+    state: _PlanState,
+    current: LayerSetPlacement,
     limits: PlanLimits,
-    source: random.Random,
-) -> Iterator[_Step]:
-    """Yield the steps that could ease the most loaded rank."""
-    ranks = sorted(range(len(board.loads)), key=board.loads.__getitem__)
-    heaviest = ranks[-1]
-    hottest = sorted(board.held[heaviest], key=board.share, reverse=True)
-    for expert in hottest[:TRIED_EXPERTS]:
-        for target in ranks[:TRIED_RANKS]:
-            if expert in board.held[target]:
+    rng: random.Random,
+) -> Iterator[_Change]:
+    """Yield changes that could reduce the load of the most loaded rank."""
+    ranks = sorted(range(len(state.loads)), key=state.loads.__getitem__)
+    most_loaded = ranks[-1]
+    by_load = sorted(
+        state.experts_of[most_loaded], key=state.replica_load, reverse=True
+    )
+    for expert in by_load[:MAX_TRIED_EXPERTS]:
+        for target in ranks[:MAX_TRIED_RANKS]:
+            if expert in state.experts_of[target]:
                 continue
-            if not _may_add(board, current, limits, target, expert):
+            if not _can_add(state, current, limits, target, expert):
                 continue
-            yield from _ways(board, limits, heaviest, target, expert)
+            yield from _additions(state, limits, most_loaded, target, expert)
             yield from _swaps(
-                board, current, limits, (heaviest, target), expert
+                state, current, limits, (most_loaded, target), expert
             )
-    copies = board.copies(heaviest)
-    if copies:
-        yield _Step((), ((heaviest, source.choice(copies)),))
+    replicated = state.replicated_experts(most_loaded)
+    if replicated:
+        yield _Change((), ((most_loaded, rng.choice(replicated)),))
 
 
-def _ways(
-    board: _Board,
+def _additions(
+    state: _PlanState,
     limits: PlanLimits,
-    heaviest: int,
+    most_loaded: int,
     target: int,
     expert: int,
-) -> Iterator[_Step]:
-    """Yield the ways to bring an expert to a rank."""
-    arrival = (target, expert)
-    if len(board.held[target]) < limits.placements:
-        yield _Step((arrival,))
-        yield _Step((arrival,), ((heaviest, expert),))
+) -> Iterator[_Change]:
+    """Yield the replication and the move of an expert to a target rank."""
+    addition = (target, expert)
+    if len(state.experts_of[target]) < limits.placements:
+        yield _Change((addition,))
+        yield _Change((addition,), ((most_loaded, expert),))
         return
-    # The rank is full: a copy that others hold too makes room.
-    copies = board.copies(target)
-    if copies:
-        lightest = min(copies, key=board.share)
-        yield _Step((arrival,), ((target, lightest),))
-        yield _Step((arrival,), ((target, lightest), (heaviest, expert)))
+    # The rank is full: an expert that other ranks hold too is removed from it.
+    replicated = state.replicated_experts(target)
+    if replicated:
+        least = min(replicated, key=state.replica_load)
+        yield _Change((addition,), ((target, least),))
+        yield _Change((addition,), ((target, least), (most_loaded, expert)))
 
 
 def _swaps(
-    board: _Board,
-    current: SetPlacement,
+    state: _PlanState,
+    current: LayerSetPlacement,
     limits: PlanLimits,
     pair: tuple[int, int],
     expert: int,
-) -> Iterator[_Step]:
-    """Yield the swaps of an expert for a lighter one of another rank."""
-    heaviest, target = pair
-    for other in board.held[target] - board.held[heaviest]:
-        lighter = board.share(other) < board.share(expert)
-        if lighter and _may_add(board, current, limits, heaviest, other):
-            yield _Step(
-                ((target, expert), (heaviest, other)),
-                ((heaviest, expert), (target, other)),
+) -> Iterator[_Change]:
+    """Yield the swaps of an expert for one of less load of a target rank."""
+    most_loaded, target = pair
+    for other in state.experts_of[target] - state.experts_of[most_loaded]:
+        is_lighter = state.replica_load(other) < state.replica_load(expert)
+        if is_lighter and _can_add(state, current, limits, most_loaded, other):
+            yield _Change(
+                ((target, expert), (most_loaded, other)),
+                ((most_loaded, expert), (target, other)),
             )
 
 
-def _may_add(
-    board: _Board,
-    current: SetPlacement,
+def _can_add(
+    state: _PlanState,
+    current: LayerSetPlacement,
     limits: PlanLimits,
     rank: int,
     expert: int,
 ) -> bool:
+    """Tell whether a rank may hold an expert under the limit of new ones.
+
+    Experts that the rank already holds in the current placement are free.
+    """
     if expert in current[rank]:
         return True
-    fresh = board.held[rank].difference(current[rank])
-    return len(fresh) < limits.spare
+    new_experts = state.experts_of[rank].difference(current[rank])
+    return len(new_experts) < limits.spare
--- a/src/amaranthrail/policy/experts.py
+++ b/src/amaranthrail/policy/experts.py
@@ -1,25 +1,25 @@
-"""Plan which rank of a group holds which experts."""
+"""Plan an expert map in which one rank holds each expert, without replicas."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator, Mapping, Sequence
 from dataclasses import dataclass
 
-#: Least share of the step time that a change must save, since the loads that
+#: Least fraction of the step time that a change must save, since the loads that
 #: ranks report are noisy.
 MIN_SAVING = 0.08
-#: Steps over which the time saved must pay for the transfer.
+#: Number of steps in which the time saved must make up for the transfers.
 PAYBACK_STEPS = 400
 
 
 @dataclass(frozen=True, slots=True)
 class ExpertMap:
-    """Assign each expert, by its index, to a rank."""
+    """Hold the rank of each expert, by the expert's index."""
 
     ranks: tuple[int, ...]
 
     def moved_from(self, earlier: ExpertMap) -> tuple[int, ...]:
-        """Return the experts that another rank holds in the earlier map."""
+        """Return the experts that are on another rank in the earlier map."""
         pairs = zip(self.ranks, earlier.ranks, strict=True)
         return tuple(
             expert for expert, (new, old) in enumerate(pairs) if new != old
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupLoad:
-    """Hold a group's load: one number an expert, one speed a rank.
+    """Hold the load of each expert and the relative speed of each rank.
 
     An expert's load is its time in one step, in milliseconds, on a rank of
     speed 1.
@@ -40,11 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MoveCost:
-    """Say what a change costs, in milliseconds of group time.
+    """Hold what a change of the map costs, in milliseconds of group time.
 
-    ``change_ms`` is paid once, ``transfer_ms`` for each expert moved;
-    ``max_transfers`` is what the weight store can deliver until the next
-    plan.
+    ``change_ms`` is the fixed cost, ``transfer_ms`` the cost of each expert
+    moved. ``max_transfers`` is the number of experts that the weight store can
+    deliver before the next plan.
     """
 
     transfer_ms: float
@@ -54,27 +54,27 @@
 
 
 def distribute_evenly(experts: int, ranks: int) -> ExpertMap:
-    """Return the map that a group starts with."""
+    """Return the round-robin map that a group starts with."""
     return ExpertMap(tuple(expert % ranks for expert in range(experts)))
 
 
 def step_ms(placement: ExpertMap, load: GroupLoad) -> float:
-    """Return the time of one step: that of the slowest rank."""
+    """Return the duration of one step in ms: the slowest rank's time."""
     return max(_rank_times(placement, load))
 
 
 def skew(placement: ExpertMap, load: GroupLoad) -> float:
-    """Return the slowest rank's time over the mean of all."""
+    """Return the slowest rank's time over the mean, 1 without any load."""
     times = _rank_times(placement, load)
-    mean = sum(times) / len(times)
-    return max(times) / mean if mean else 1.0
+    mean_ms = sum(times) / len(times)
+    return max(times) / mean_ms if mean_ms else 1.0
 
 
 def lower_bound_ms(load: GroupLoad) -> float:
-    """Return a step time that no map can beat."""
-    total = sum(load.expert_loads) / sum(load.speeds)
-    heaviest = max(load.expert_loads) / max(load.speeds)
-    return max(total, heaviest)
+    """Return a step duration that no map can be faster than, in ms."""
+    evenly_divided_ms = sum(load.expert_loads) / sum(load.speeds)
+    heaviest_ms = max(load.expert_loads) / max(load.speeds)
+    return max(evenly_divided_ms, heaviest_ms)
 
 
 def plan_moves(
@@ -82,23 +82,23 @@
     load: GroupLoad,
     cost: MoveCost,
 ) -> ExpertMap:
-    """Return a better map, or the same one where no change pays.
+    """Return a better map, or the same one if no change is worth its cost.
 
-    Moves and swaps are tried one after the other, from the slowest rank,
-    always the one that shortens the step most; of all the maps on that way
-    the one is taken that gains most after its cost.
+    The search is greedy: each move or swap takes load from the slowest rank,
+    and the one that shortens the step most is made first. Of all maps on this
+    path, the one that saves most time after its cost is returned.
     """
     best = placement
     best_gain_ms = 0.0
-    before = step_ms(placement, load)
+    current_ms = step_ms(placement, load)
     for planned in _improvements(placement, load):
         transfers = len(planned.moved_from(placement))
         if transfers > cost.max_transfers:
             break
-        saved_ms = (before - step_ms(planned, load)) * cost.payback_steps
+        saved_ms = (current_ms - step_ms(planned, load)) * cost.payback_steps
         gain_ms = saved_ms - cost.change_ms - transfers * cost.transfer_ms
-        is_sure = step_ms(planned, load) < (1 - MIN_SAVING) * before
-        if is_sure and gain_ms > best_gain_ms:
+        is_significant = step_ms(planned, load) < (1 - MIN_SAVING) * current_ms
+        if is_significant and gain_ms > best_gain_ms:
             best = planned
             best_gain_ms = gain_ms
     return best
@@ -108,7 +108,7 @@
     placement: ExpertMap,
     load: GroupLoad,
 ) -> Iterator[ExpertMap]:
-    """Yield ever better maps, each a move or a swap from the one before."""
+    """Yield ever faster maps, each one move or swap from the one before."""
     ranks = list(placement.ranks)
     for _ in placement.ranks:
         change = _best_change(ranks, load)
@@ -121,11 +121,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _Change:
+    """Hold the new rank of each moved expert and the resulting step time."""
+
     moves: Mapping[int, int]
     step_ms: float
 
 
 def _best_change(ranks: Sequence[int], load: GroupLoad) -> _Change | None:
+    """Return the change that shortens the step most, None if none does."""
     times = _rank_times(ExpertMap(tuple(ranks)), load)
     slowest = max(range(len(times)), key=times.__getitem__)
     changes = [
@@ -146,35 +149,39 @@
     times: Sequence[float],
     load: GroupLoad,
 ) -> list[_Change]:
-    """Return the move of an expert to each rank, and each swap for it."""
+    """Return the moves of an expert to other ranks and its possible swaps.
+
+    An expert is swapped only for those of less load.
+    """
     source = ranks[expert]
-    weight = load.expert_loads[expert]
-    found = []
+    expert_load = load.expert_loads[expert]
+    changes = []
     for target, _ in enumerate(times):
         if target != source:
-            changed = _shifted(times, load, (source, target), weight)
-            found.append(_Change({expert: target}, max(changed)))
+            new_times = _times_after(times, load, (source, target), expert_load)
+            changes.append(_Change({expert: target}, max(new_times)))
     for other, target in enumerate(ranks):
-        lighter = load.expert_loads[other]
-        if target != source and lighter < weight:
-            shift = weight - lighter
-            changed = _shifted(times, load, (source, target), shift)
+        other_load = load.expert_loads[other]
+        if target != source and other_load < expert_load:
+            difference = expert_load - other_load
+            new_times = _times_after(times, load, (source, target), difference)
             moves = {expert: target, other: source}
-            found.append(_Change(moves, max(changed)))
-    return found
+            changes.append(_Change(moves, max(new_times)))
+    return changes
 
 
-def _shifted(
+def _times_after(
     times: Sequence[float],
     load: GroupLoad,
     pair: tuple[int, int],
-    weight: float,
+    moved_load: float,
 ) -> list[float]:
+    """Return the ranks' times after load moves from one rank to another."""
     source, target = pair
-    changed = list(times)
-    changed[source] -= weight / load.speeds[source]
-    changed[target] += weight / load.speeds[target]
-    return changed
+    new_times = list(times)
+    new_times[source] -= moved_load / load.speeds[source]
+    new_times[target] += moved_load / load.speeds[target]
+    return new_times
 
 
 def _rank_times(placement: ExpertMap, load: GroupLoad) -> list[float]:
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -1,49 +1,49 @@
-"""Estimate demand for experts from readings of single ranks."""
+"""Estimate the demand for experts from readings of single ranks."""
 
 from __future__ import annotations
 
-from amaranthrail.policy.demand import MIN_MEAN_CHOICES, ExpertDemand
+from amaranthrail.policy.demand import MIN_MEAN_TOKENS, ExpertDemand
 
 EXPERTS = 8
-#: What a rank chooses between two readings, enough to judge by.
-CHOICES = int(4 * MIN_MEAN_CHOICES)
+#: Tokens of an expert between two readings, enough for an estimate.
+TOKENS = int(4 * MIN_MEAN_TOKENS)
 
 
-class Reader:
-    """Read a rank whose calls like some experts more than others."""
+class RankReader:
+    """Read the counts of a rank that routes most tokens to one expert."""
 
     def __init__(self) -> None:
         self.demand = ExpertDemand(1, EXPERTS)
         self._counts = [0 for _ in range(EXPERTS)]
 
-    def read(self, now: float, liked: int) -> None:
+    def read(self, now: float, hot_expert: int) -> None:
         for expert in range(EXPERTS):
-            more = 10 * CHOICES if expert == liked else CHOICES
-            self._counts[expert] += more
+            tokens = 10 * TOKENS if expert == hot_expert else TOKENS
+            self._counts[expert] += tokens
         self.demand.decay(now)
         self.demand.update_counts(0, tuple(self._counts))
 
 
-def test_what_was_liked_before_a_change_is_forgotten_at_once() -> None:
-    """Replays a shift on dvorak-ladirna scale-2: likeness 0.35 to 0.7."""
-    reader = Reader()
+def test_demand_before_a_shift_is_discarded_at_once() -> None:
+    """Replays a shift at dvorak-ladirna scale-2: similarity 0.35 to 0.7."""
+    reader = RankReader()
     for reading in range(5):
-        reader.read(250.0 * reading, liked=1)
-    reader.read(1250, liked=6)
+        reader.read(250.0 * reading, hot_expert=1)
+    reader.read(1250, hot_expert=6)
     weights = list(reader.demand.layer_set_weights(0))
     assert weights[1] == weights[0]
     assert weights.index(max(weights)) == 6
 
 
-def test_readings_that_differ_little_add_up() -> None:
-    reader = Reader()
+def test_similar_readings_add_up() -> None:
+    reader = RankReader()
     for reading in range(3):
-        reader.read(250.0 * reading, liked=1)
-    once = 10 * CHOICES
-    assert reader.demand.layer_set_weights(0)[1] > 1.5 * once
+        reader.read(250.0 * reading, hot_expert=1)
+    single_reading = 10 * TOKENS
+    assert reader.demand.layer_set_weights(0)[1] > 1.5 * single_reading
 
 
-def test_counts_that_begin_anew_count_as_nothing() -> None:
+def test_counts_that_were_reset_add_nothing() -> None:
     demand = ExpertDemand(1, EXPERTS)
     demand.update_counts(0, (1000,) * EXPERTS)
     demand.update_counts(0, (10,) * EXPERTS)
--- a/tests/test_expertplan.py
+++ b/tests/test_expertplan.py
@@ -1,4 +1,4 @@
-"""Plan maps for demand that moves from some experts to others."""
+"""Plan expert maps for demand that shifts from some experts to others."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
     plan_layer_set,
 )
 
-#: Load of the most loaded rank over the mean that the issue asks for.
+#: Load of the most loaded rank over the mean that the issue requires.
 MAX_SKEW = 1.15
 LIMITS = PlanLimits(placements=5, spare=2)
 
 
-def zipf_weights(experts: int, source: random.Random) -> list[float]:
+def zipf_weights(experts: int, rng: random.Random) -> list[float]:
     weights = [(rank + 1) ** -1.1 for rank in range(experts)]
-    source.shuffle(weights)
+    rng.shuffle(weights)
     return weights
 
 
 @pytest.mark.parametrize('seed', range(10))
-def test_three_plans_even_out_a_shift(seed: int) -> None:
-    # A plan takes about a second to be in use, and the target is 4 s.
-    source = random.Random(seed)
-    weights = zipf_weights(64, source)
-    first = default_placement(64, 16)
-    planned = first
+def test_three_plans_rebalance_after_a_shift(seed: int) -> None:
+    # It takes about a second until a plan is in use, and the target is 4 s.
+    rng = random.Random(seed)
+    weights = zipf_weights(64, rng)
+    initial = default_placement(64, 16)
+    planned = initial
     for _ in range(3):
-        planned = plan_layer_set(planned, weights, LIMITS, source)
-    assert layer_set_skew(first, weights) > 2 * MAX_SKEW
+        planned = plan_layer_set(planned, weights, LIMITS, rng)
+    assert layer_set_skew(initial, weights) > 2 * MAX_SKEW
     assert layer_set_skew(planned, weights) <= MAX_SKEW
 
 
@@ -47,36 +47,38 @@
     ranks: int,
     placements: int,
 ) -> None:
-    source = random.Random(experts)
+    rng = random.Random(experts)
     limits = PlanLimits(placements, spare=2)
     current = default_placement(experts, ranks)
     for _ in range(5):
         planned = plan_layer_set(
             current,
-            zipf_weights(experts, source),
+            zipf_weights(experts, rng),
             limits,
-            source,
+            rng,
         )
         for held, before in zip(planned, current, strict=True):
             assert len(held) <= placements
             assert len(set(held) - set(before)) <= limits.spare
-        assert {one for held in planned for one in held} == set(range(experts))
+        assert {expert for held in planned for expert in held} == set(
+            range(experts)
+        )
         current = planned
 
 
-def test_even_demand_is_left_alone() -> None:
-    first = default_placement(64, 16)
+def test_placement_is_kept_under_even_demand() -> None:
+    initial = default_placement(64, 16)
     assert (
         plan_layer_set(
-            first, tuple(1.0 for _ in range(64)), LIMITS, random.Random(1)
+            initial, tuple(1.0 for _ in range(64)), LIMITS, random.Random(1)
         )
-        == first
+        == initial
     )
 
 
-def test_demand_forgets_what_was_liked_before() -> None:
-    # Demand shifts every three to four seconds; after one such time what was
-    # liked before must not outweigh a tenth of what is liked now.
+def test_past_demand_decays_between_two_shifts() -> None:
+    # Demand shifts every three to four seconds. After that time the tokens
+    # before the shift may weigh no more than a tenth of those after it.
     demand = ExpertDemand(1, 2)
     demand.decay(0)
     demand.update_counts(0, (0, 0))
@@ -84,11 +86,11 @@
     for now in range(500, 4500, 500):
         demand.decay(now)
         demand.update_counts(0, (1000, now))
-    old, fresh = demand.layer_set_weights(0)
-    assert fresh > 10 * old
+    past, recent = demand.layer_set_weights(0)
+    assert recent > 10 * past
 
 
-def test_a_restarted_rank_counts_from_its_start() -> None:
+def test_counts_of_a_restarted_rank_start_anew() -> None:
     demand = ExpertDemand(1, 2)
     demand.update_counts(0, (500, 500))
     demand.update_counts(0, (10, 0))
