--- a/src/amaranthrail/policy/membership.py
+++ b/src/amaranthrail/policy/membership.py
@@ -1,9 +1,9 @@
-"""Tell which entries live and which of them leads, from their own reports.
+"""Decide from entries' own reports which are live and which is the leader.
 
-Load pattern: entries are killed, frozen, cut off and replaced while the
-platform's store is down, at the crest of a wave too. The lead stays with the
-entry that has run longest, so that it moves only when that one goes, and no
-call to the store is needed for it.
+Load pattern: entries are killed, suspended, partitioned and replaced while the
+platform's store is down, at a load peak too. The leader is the entry that has
+run longest, so that leadership only moves when that entry stops, and without
+any call to the store.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 
 import msgspec
 
-#: Time without a report after which an entry counts as gone, in ms; three
-#: reports of an entry without calls.
+#: Time without a report after which an entry is not live any more, in ms: the
+#: time of three reports of an entry without calls.
 LIVENESS_TIMEOUT_MS = 900.0
-#: Time after its start in which an entry does not lead, in ms: it would have
-#: heard one report of each other entry. A shorter time is safe, as it gives way
-#: to one that has run longer.
+#: Time after its start in which an entry does not become the leader, in ms: by
+#: then it has received one report of each other entry. A shorter time is safe,
+#: as an entry hands leadership over to one that has run longer.
 LEADER_DELAY_MS = 400.0
 
 
 class Member(msgspec.Struct, frozen=True):
-    """Hold what an entry last said of itself, and when that was heard.
+    """Hold an entry's last report on itself and when it was received.
 
-    ``started_at`` and ``shutdown_at`` are the wall times of its start and of
-    its
-    signal to stop in ms, the latter 0 before. They only order entries, so a
-    wrong clock decides who leads and who ends last, and nothing else.
-    ``has_cluster_state`` says that it knows a configuration and upstreams.
+    ``started_at`` and ``shutdown_at`` are the wall times in ms of its start and
+    of its stop signal; the latter is 0 before the signal. They only order the
+    entries, so a wrong clock affects which one is the leader and which one
+    exits last, and nothing else. ``has_cluster_state`` says that it knows a
+    configuration and upstreams. ``last_seen_at`` is a local time in ms.
     """
 
     host: str
@@ -38,54 +38,54 @@
     has_cluster_state: bool = True
 
     @property
-    def leaving(self) -> bool:
-        """Tell whether it has got its signal to stop."""
+    def is_shutting_down(self) -> bool:
+        """Tell whether it has reported its stop signal."""
         return self.shutdown_at > 0
 
 
-def is_live(member: Member, now: float, life_ms: float) -> bool:
-    """Tell whether an entry was heard lately."""
-    return now - member.last_seen_at < life_ms
+def is_live(member: Member, now: float, timeout_ms: float) -> bool:
+    """Tell whether an entry's last report is more recent than the timeout."""
+    return now - member.last_seen_at < timeout_ms
 
 
 def is_leader(
     own: Member,
     others: Iterable[Member],
     now: float,
-    life_ms: float = LIVENESS_TIMEOUT_MS,
+    timeout_ms: float = LIVENESS_TIMEOUT_MS,
 ) -> bool:
-    """Tell whether an entry is the one of those alive that has run longest.
+    """Tell whether this entry has run longest of all that are live.
 
-    ``own.last_seen_at`` is when it began to listen: it waits until it would
-    have
-    heard the others.
+    ``own.last_seen_at`` is when this entry began to receive reports: it is not
+    the leader before it would have received those of the others. An entry that
+    is shutting down is never the leader.
     """
-    if own.leaving or now - own.last_seen_at < LEADER_DELAY_MS:
+    if own.is_shutting_down or now - own.last_seen_at < LEADER_DELAY_MS:
         return False
     return all(
-        (own.started_at, own.host) < (one.started_at, one.host)
-        for one in others
-        if is_live(one, now, life_ms) and not one.leaving
+        (own.started_at, own.host) < (member.started_at, member.host)
+        for member in others
+        if is_live(member, now, timeout_ms) and not member.is_shutting_down
     )
 
 
 def runs_longer_than(other: Member, own: Member) -> bool:
-    """Tell whether another entry can be asked after this one has ended.
+    """Tell whether another entry has the cluster state after this one exits.
 
-    Of those that leave, the one that began last stays the longest.
+    Of entries that are shutting down, the last to begin is the last to exit.
     """
     if not other.has_cluster_state:
         return False
-    return not other.leaving or (
+    return not other.is_shutting_down or (
         (other.shutdown_at, other.host) > (own.shutdown_at, own.host)
     )
 
 
 def liveness_timeout_ms(entries: int, receivers: int) -> float:
-    """Return how long an entry may be silent.
+    """Return the time without a report after which an entry is not live.
 
-    Each report goes to some receivers of all entries, so a single pair talks
-    less often the more entries there are.
+    Each report is sent to at most ``receivers`` entries, so the more
+    ``entries`` there are, the less often one entry receives another's reports.
     """
     rounds = -(-max(1, entries - 1) // receivers)
     return LIVENESS_TIMEOUT_MS * rounds
--- a/src/amaranthrail/policy/shutdown.py
+++ b/src/amaranthrail/policy/shutdown.py
@@ -1,42 +1,47 @@
-"""Tell which calls an entry that leaves still takes.
+"""Decide which calls an entry accepts during its graceful shutdown.
 
 Load pattern: the entries of a failure domain are restarted one after the other,
-some seconds apart, while each finishes its streams. The balancer then sends
-callers to entries that leave as well, since too few others are ready. Where all
-entries are restarted while the store is away, none would know anything.
+some seconds apart, while each finishes its streams. The balancer then also
+sends callers to entries that are shutting down, since too few others are ready.
+If all entries were restarted while the store is unreachable, the cluster state
+would be lost.
 """
 
 from __future__ import annotations
 
-#: Time from the signal to stop in which streams are taken, in ms: the balancer
-#: sends new callers until it has missed two probes, a second apart, and the
-#: users let only streams of the first 3 s be cut at the kill.
+#: Time after the stop signal in which new streams are accepted, in ms. The
+#: balancer sends new callers until it has missed two probes, a second apart.
+#: The users accept that the kill cuts streams off, but only those of the first
+#: 3 s.
 STREAM_ACCEPT_MS = 2900.0
-#: Part of the time until the kill that calls in progress may take.
+#: Fraction of the time from the stop signal to the kill by which calls in
+#: progress must have ended.
 CALL_COMPLETION_SHARE = 0.94
 
 
 def can_exit(*, active: int, store_lost: bool, successors: int) -> bool:
-    """Tell whether an entry that leaves may end before it must.
+    """Tell whether a process that is shutting down may exit early.
 
-    While the store is away, what the entries know is nowhere else: the last of
-    them waits until another can be asked.
+    ``active`` is the number of calls in progress. While the store is
+    unreachable, the cluster state is only in the entries: the last of them
+    waits until there is a successor, an entry that runs longer and knows it.
     """
     return not active and (not store_lost or successors > 0)
 
 
 def can_accept_call(
-    since_ms: float,
-    left_ms: float,
+    since_signal_ms: float,
+    max_call_ms: float,
     shutdown_ms: float,
     *,
     streaming: bool,
 ) -> bool:
     """Tell whether a call can be answered before the process is killed.
 
-    ``since_ms`` is the time since the signal to stop, ``left_ms`` what the
-    call may take, and ``shutdown_ms`` the time from the signal to the kill.
+    ``since_signal_ms`` is the time since the stop signal, ``max_call_ms`` the
+    longest time that the call may take, and ``shutdown_ms`` the time from the
+    signal to the kill.
     """
     if streaming:
-        return since_ms < STREAM_ACCEPT_MS
-    return since_ms + left_ms < CALL_COMPLETION_SHARE * shutdown_ms
+        return since_signal_ms < STREAM_ACCEPT_MS
+    return since_signal_ms + max_call_ms < CALL_COMPLETION_SHARE * shutdown_ms
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -1,4 +1,4 @@
-"""Replay the load patterns that the direct entry's decisions answer."""
+"""Replay the load patterns behind the decisions of the direct entry."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from amaranthrail.policy.outliers import MAX_EJECTION_MS, Health
 from amaranthrail.policy.rebalancing import (
-    PRESSED_INTERVAL_MS,
-    WARM_INTERVAL_MS,
+    HIGH_LOAD_INTERVAL_MS,
+    MODERATE_LOAD_INTERVAL_MS,
     can_rebalance,
     has_high_load,
     should_change_map,
@@ -30,84 +30,84 @@
 from amaranthrail.policy.windowbudget import WindowRetryBudget
 from amaranthrail.ranks.keeper import CYCLE_MS
 
-GAP_MS = 120.0
-#: Bounds on repeats, as the users' sheets state them.
+TARGET_GAP_MS = 120.0
+#: Bounds on retries, as the users' specifications state them.
 RATIO = 0.2
 SLACK = 92.0
 WINDOW_MS = 10_000.0
 
 
-def test_a_leaving_entry_takes_what_it_can_finish() -> None:
-    """Replays a kill 8 s after the signal to stop."""
+def test_entry_shutting_down_accepts_calls_that_it_can_finish() -> None:
+    """Replays a kill 8 s after the stop signal."""
     assert can_accept_call(0, 8000, 8000, streaming=True)
     assert not can_accept_call(3000, 8000, 8000, streaming=True)
     assert can_accept_call(3000, 1500, 8000, streaming=False)
     assert not can_accept_call(7000, 1500, 8000, streaming=False)
 
 
-def test_the_last_entry_that_knows_waits_for_one_that_stays() -> None:
-    """Replays a restart of all entries within 5 s while the store is away."""
+def test_last_entry_with_cluster_state_waits_for_a_successor() -> None:
+    """Replays a restart of all entries within 5 s while the store is down."""
     assert can_exit(active=0, store_lost=False, successors=0)
     assert can_exit(active=0, store_lost=True, successors=1)
     assert not can_exit(active=0, store_lost=True, successors=0)
     assert not can_exit(active=1, store_lost=False, successors=3)
 
 
-def test_a_burst_is_spread_over_all_upstreams() -> None:
-    source = random.Random(1)
-    own = dict.fromkeys((f'u{one}' for one in range(16)), 0)
+def test_burst_is_distributed_over_all_upstreams() -> None:
+    rng = random.Random(1)
+    calls = dict.fromkeys((f'u{number}' for number in range(16)), 0)
     for _ in range(64):
-        seen = [UpstreamView(name, 6, count) for name, count in own.items()]
-        chosen = select_upstream(seen, source)
-        assert chosen is not None
-        own[chosen.name] += 1
-    assert set(own.values()) == {4}
+        views = [UpstreamView(name, 6, count) for name, count in calls.items()]
+        selected = select_upstream(views, rng)
+        assert selected is not None
+        calls[selected.name] += 1
+    assert set(calls.values()) == {4}
 
 
-def test_work_of_other_entries_counts() -> None:
+def test_calls_of_other_entries_count_as_load() -> None:
     busy = UpstreamView('busy', 6, own_calls=0, other_calls=3)
     free = UpstreamView('free', 6, own_calls=2)
-    chosen = select_upstream([busy, free], random.Random(1))
-    assert chosen == free
+    selected = select_upstream([busy, free], random.Random(1))
+    assert selected == free
 
 
-def test_what_was_said_long_ago_counts_less() -> None:
+def test_old_load_reports_lose_weight() -> None:
     assert decay_others(4, 0) == pytest.approx(4)
     assert decay_others(4, 8000) == pytest.approx(0, abs=0.01)
 
 
-def test_an_equal_upstream_nearby_goes_first() -> None:
-    far = UpstreamView('far', 6, own_calls=1)
-    near = UpstreamView('near', 6, own_calls=1, is_same_domain=True)
-    source = random.Random(1)
-    assert {select_upstream([far, near], source) for _ in range(20)} == {near}
+def test_upstream_of_the_same_domain_is_preferred_at_equal_load() -> None:
+    remote = UpstreamView('remote', 6, own_calls=1)
+    local = UpstreamView('local', 6, own_calls=1, is_same_domain=True)
+    rng = random.Random(1)
+    assert {select_upstream([remote, local], rng) for _ in range(20)} == {local}
 
 
-def test_one_that_failed_lately_is_a_last_resort() -> None:
-    failed = UpstreamView('failed', 6, own_calls=0, is_ejected=True)
+def test_ejected_upstream_is_selected_only_without_alternative() -> None:
+    ejected = UpstreamView('ejected', 6, own_calls=0, is_ejected=True)
     busy = UpstreamView('busy', 6, own_calls=5)
-    source = random.Random(1)
-    assert select_upstream([failed, busy], source) == busy
-    assert select_upstream([failed], source) == failed
+    rng = random.Random(1)
+    assert select_upstream([ejected, busy], rng) == busy
+    assert select_upstream([ejected], rng) == ejected
 
 
-def test_nobody_is_overrun() -> None:
-    own = int(6 * MAX_LOAD_PER_SLOT)
-    full = [UpstreamView(f'u{one}', 6, own) for one in range(3)]
+def test_no_upstream_is_overloaded() -> None:
+    calls = int(6 * MAX_LOAD_PER_SLOT)
+    full = [UpstreamView(f'u{number}', 6, calls) for number in range(3)]
     assert select_upstream(full, random.Random(1)) is None
     assert select_upstream([], random.Random(1)) is None
 
 
-def test_an_unreachable_upstream_is_left_for_ever_longer() -> None:
+def test_unreachable_upstream_is_ejected_for_a_growing_time() -> None:
     health = Health()
-    pauses = []
+    ejections_ms = []
     now = 0.0
     for _ in range(6):
         health.record_unreachable(now)
-        pauses.append(health.ejected_until - now)
+        ejections_ms.append(health.ejected_until - now)
         now = health.ejected_until
-    assert pauses == sorted(pauses)
-    assert pauses[-1] == pytest.approx(MAX_EJECTION_MS)
+    assert ejections_ms == sorted(ejections_ms)
+    assert ejections_ms[-1] == pytest.approx(MAX_EJECTION_MS)
     health.record_success()
     health.record_unreachable(now)
     assert health.is_ejected(now)
@@ -115,100 +115,100 @@
 
 
 @pytest.mark.parametrize(
-    ('share', 'is_left'),
-    # A sound upstream fails 0.14 of idempotent calls; a grey one 0.45.
+    ('failure_rate', 'is_ejected'),
+    # A healthy upstream fails 0.14 of idempotent calls, a failing one 0.45.
     [(0.14, False), (0.9, True)],
 )
-def test_only_an_upstream_that_fails_often_is_left(
-    share: float,
+def test_only_upstreams_with_a_high_failure_rate_are_ejected(
+    failure_rate: float,
     *,
-    is_left: bool,
+    is_ejected: bool,
 ) -> None:
-    source = random.Random(3)
+    rng = random.Random(3)
     health = Health()
-    left = 0
+    ejected_count = 0
     for now in range(400):
-        if source.random() < share:
+        if rng.random() < failure_rate:
             health.record_failure(now)
         else:
             health.record_success()
-        left += health.is_ejected(now)
-    assert (left > 200) is is_left
+        ejected_count += health.is_ejected(now)
+    assert (ejected_count > 200) is is_ejected
 
 
 @pytest.mark.parametrize('entries', [1, 4, 5, 12])
-def test_repeats_of_all_entries_keep_the_bound(entries: int) -> None:
-    """A third of a service fails while callers repeat at once."""
-    source = random.Random(entries)
+def test_retries_of_all_entries_stay_within_the_bound(entries: int) -> None:
+    """Replays the failure of a third of a service, with immediate retries."""
+    rng = random.Random(entries)
     budgets = [
         WindowRetryBudget(RATIO, SLACK, WINDOW_MS) for _ in range(entries)
     ]
-    calls: list[float] = []
-    repeats: list[float] = []
+    call_times: list[float] = []
+    retry_times: list[float] = []
     for now in range(0, 40_000, 10):
-        budget = source.choice(budgets)
+        budget = rng.choice(budgets)
         budget.record_call(now)
-        calls.append(now)
+        call_times.append(now)
         if budget.try_withdraw(now, entries):
-            repeats.append(now)
+            retry_times.append(now)
     for end in range(0, 40_000, 250):
-        allowed = RATIO * count_in_window(calls, end) + SLACK
-        assert allowed >= count_in_window(repeats, end)
+        allowed = RATIO * count_in_window(call_times, end) + SLACK
+        assert allowed >= count_in_window(retry_times, end)
 
 
 def count_in_window(times: list[float], end: float) -> int:
-    return sum(end - WINDOW_MS < one <= end for one in times)
+    return sum(end - WINDOW_MS < time <= end for time in times)
 
 
-def test_callers_that_are_refused_together_return_apart() -> None:
-    source = random.Random(1)
-    returns = [choose_retry_after_ms(source) for _ in range(300)]
-    assert min(returns) >= MIN_RETRY_AFTER_MS
+def test_retry_after_times_are_distributed_evenly() -> None:
+    rng = random.Random(1)
+    times_ms = [choose_retry_after_ms(rng) for _ in range(300)]
+    assert min(times_ms) >= MIN_RETRY_AFTER_MS
     tenths = [
-        int((one - MIN_RETRY_AFTER_MS) * 10 / RETRY_AFTER_JITTER_MS)
-        for one in returns
+        int((time_ms - MIN_RETRY_AFTER_MS) * 10 / RETRY_AFTER_JITTER_MS)
+        for time_ms in times_ms
     ]
-    busiest = max(tenths.count(tenth) for tenth in range(10))
-    assert busiest < 2 * len(returns) / 10
+    most_in_a_tenth = max(tenths.count(tenth) for tenth in range(10))
+    assert most_in_a_tenth < 2 * len(times_ms) / 10
 
 
-def test_nothing_is_counted_on_calm_seconds() -> None:
-    assert not should_read_counts(None, 20, GAP_MS)
-    assert should_read_counts(None, 65, GAP_MS)
+def test_no_counts_are_read_at_a_low_load() -> None:
+    assert not should_read_counts(None, 20, TARGET_GAP_MS)
+    assert should_read_counts(None, 65, TARGET_GAP_MS)
 
 
 @pytest.mark.parametrize(
-    ('pass_ms', 'interval_ms'),
-    [(100, PRESSED_INTERVAL_MS), (65, WARM_INTERVAL_MS)],
+    ('step_ms', 'interval_ms'),
+    [(100, HIGH_LOAD_INTERVAL_MS), (65, MODERATE_LOAD_INTERVAL_MS)],
 )
-def test_counts_are_an_interval_apart(
-    pass_ms: float,
+def test_counts_are_read_once_per_interval(
+    step_ms: float,
     interval_ms: float,
 ) -> None:
-    assert not should_read_counts(interval_ms - 1, pass_ms, GAP_MS)
-    assert should_read_counts(interval_ms, pass_ms, GAP_MS)
+    assert not should_read_counts(interval_ms - 1, step_ms, TARGET_GAP_MS)
+    assert should_read_counts(interval_ms, step_ms, TARGET_GAP_MS)
 
 
-def test_each_look_under_pressure_counts() -> None:
-    """Replays a shift every 3.3 s: a second between counts is too long."""
-    assert PRESSED_INTERVAL_MS < CYCLE_MS
-    assert should_read_counts(CYCLE_MS, 130, GAP_MS)
+def test_counts_are_read_in_each_cycle_at_a_high_load() -> None:
+    """Replays a shift every 3.3 s: a second between readings is too long."""
+    assert HIGH_LOAD_INTERVAL_MS < CYCLE_MS
+    assert should_read_counts(CYCLE_MS, 130, TARGET_GAP_MS)
 
 
-def test_only_long_passes_and_large_savings_change_a_map() -> None:
-    assert not should_change_map(0.7, 20, GAP_MS)
-    assert should_change_map(0.3, 100, GAP_MS)
-    assert not should_change_map(0.1, 100, GAP_MS)
+def test_map_changes_only_at_long_steps_and_large_savings() -> None:
+    assert not should_change_map(0.7, 20, TARGET_GAP_MS)
+    assert should_change_map(0.3, 100, TARGET_GAP_MS)
+    assert not should_change_map(0.1, 100, TARGET_GAP_MS)
 
 
-def test_a_stale_map_is_changed_while_a_wave_rises() -> None:
-    # A shift on a calm group triples the most loaded rank's share.
-    assert not has_high_load(65, GAP_MS)
-    assert should_change_map(0.65, 65, GAP_MS)
-    assert not should_change_map(0.3, 65, GAP_MS)
+def test_outdated_map_is_changed_before_the_load_peaks() -> None:
+    # A demand shift at a low load triples the most loaded rank's share.
+    assert not has_high_load(65, TARGET_GAP_MS)
+    assert should_change_map(0.65, 65, TARGET_GAP_MS)
+    assert not should_change_map(0.3, 65, TARGET_GAP_MS)
 
 
-def test_a_large_group_keeps_its_map_as_demand_would_outrun_a_change() -> None:
-    """Replays asmv-libretti and the same site grown."""
+def test_large_group_keeps_its_map_as_demand_shifts_too_fast() -> None:
+    """Replays the site asmv-libretti and the same site at a larger scale."""
     assert can_rebalance(sets=4, experts=64)
     assert not can_rebalance(sets=12, experts=144)
