--- a/src/amaranthrail/policy/queueing.py
+++ b/src/amaranthrail/policy/queueing.py
@@ -1,4 +1,4 @@
-"""Order the work that waits for a slot of one upstream."""
+"""Order the work that is queued for the slots of one upstream."""
 
 from __future__ import annotations
 
@@ -8,14 +8,17 @@
 
 from ..manifest import Policies, QueuePolicy
 
-#: QueuedWork for this many times its own cost lifts work before all that is
-#: fresh and as short as it pleases.
+#: Ageing that prevents starvation: work that has waited this many times its own
+#: cost starts before any new work, however short that is.
 AGEING_FACTOR = 2.0
 
 
 @dataclass(slots=True)
 class QueuedWork:
-    """Describe one piece of waiting work; times in milliseconds."""
+    """Describe one item of queued work; times in milliseconds.
+
+    ``cost_ms`` is its expected time in a slot, and ``long`` its size class.
+    """
 
     arrived_at: float
     cost_ms: float
@@ -23,53 +26,57 @@
 
 
 #: Returns the index of the work to start next, None to leave the slot free.
-#: Takes the waiting work, the slots in use by long work, all slots, the time.
+#: Takes the queued work, the number of slots that long work holds, the number
+#: of all slots, and the time in ms.
 QueueOrder = Callable[[Sequence[QueuedWork], int, int, float], int | None]
 
 
 def make_queue_order(policies: Policies) -> QueueOrder:
-    """Return the function that orders waiting work under a policy."""
+    """Return the function that chooses the next work under a policy."""
     if policies.queue is QueuePolicy.FIFO:
-        return _first_in
+        return _fifo
     return _short_first(policies.long_share)
 
 
-def long_slots(slots: int, share: float) -> int:
-    """Return how many slots long work may hold, at least one."""
+def max_long_slots(slots: int, share: float) -> int:
+    """Return how many slots long work may hold at a time, at least one.
+
+    ``share`` is its fraction of all slots, rounded down.
+    """
     return max(1, math.floor(slots * share))
 
 
-def _first_in(
-    waiting: Sequence[QueuedWork],
-    _running_long: int,
+def _fifo(
+    queued: Sequence[QueuedWork],
+    _long_running: int,
     _slots: int,
     _now: float,
 ) -> int | None:
-    return 0 if waiting else None
+    return 0 if queued else None
 
 
 def _short_first(long_share: float) -> QueueOrder:
     def choose(
-        waiting: Sequence[QueuedWork],
-        running_long: int,
+        queued: Sequence[QueuedWork],
+        long_running: int,
         slots: int,
         now: float,
     ) -> int | None:
-        full = running_long >= long_slots(slots, long_share)
-        fitting = [
+        is_long_full = long_running >= max_long_slots(slots, long_share)
+        eligible = [
             index
-            for index, work in enumerate(waiting)
-            if not (full and work.long)
+            for index, work in enumerate(queued)
+            if not (is_long_full and work.long)
         ]
         return min(
-            fitting,
-            key=lambda index: _urgency(waiting[index], now),
+            eligible,
+            key=lambda index: _aged_cost_ms(queued[index], now),
             default=None,
         )
 
     return choose
 
 
-def _urgency(work: QueuedWork, now: float) -> float:
-    """Return the cost still to be aged away; the lowest goes first."""
+def _aged_cost_ms(work: QueuedWork, now: float) -> float:
+    """Return the cost less a credit for the wait; the lowest starts first."""
     return work.cost_ms - (now - work.arrived_at) / AGEING_FACTOR
--- a/src/amaranthrail/policy/sizes.py
+++ b/src/amaranthrail/policy/sizes.py
@@ -9,8 +9,10 @@
 from ..manifest import Operation, Policies, SizeClass
 
 _CHARS_PER_TOKEN = 4
-_PROMPT_TOKEN_SHARE = 0.05
+#: Cost of a prompt token, relative to a generated one.
+_PROMPT_TOKEN_COST = 0.05
 _DEFAULT_MAX_TOKENS = 256
+#: Length of the prompt's beginning that the affinity policy uses.
 _PREFIX_CHARS = 256
 
 
@@ -18,8 +20,8 @@
     content: str = ''
 
 
-class ModelCall(msgspec.Struct):
-    """Hold what routing reads of a completion request."""
+class CompletionRequest(msgspec.Struct):
+    """Hold the fields of a completion request's body that routing uses."""
 
     model: str
     messages: list[_Message] = []
@@ -27,14 +29,20 @@
     max_tokens: int = _DEFAULT_MAX_TOKENS
     stream: bool = False
 
-    def text(self) -> str:
-        """Return the whole prompt."""
-        return self.prompt + '\n'.join(one.content for one in self.messages)
+    def prompt_text(self) -> str:
+        """Return the whole prompt, the messages included."""
+        return self.prompt + '\n'.join(
+            message.content for message in self.messages
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class SizeEstimate:
-    """Hold the expected time in a slot and whether the work is long."""
+    """Hold a request's expected time in a slot and its size class.
+
+    ``prefix`` is the beginning of the prompt, and ``tokens`` the number of its
+    tokens and of those that may be generated, each unset for a plain operation.
+    """
 
     cost_ms: float
     long: bool
@@ -42,25 +50,27 @@
     tokens: int = 0
 
 
-def parse_completion(body: bytes) -> ModelCall | None:
-    """Return what a completion request asks for, None if it is not valid."""
+def parse_completion(body: bytes) -> CompletionRequest | None:
+    """Return a parsed completion request, None if its body is not valid."""
     try:
-        call = msgspec.json.decode(body, type=ModelCall)
+        request = msgspec.json.decode(body, type=CompletionRequest)
     except (msgspec.DecodeError, RecursionError):
         return None
-    return call if call.max_tokens > 0 else None
+    return request if request.max_tokens > 0 else None
 
 
-def estimate_completion(call: ModelCall, policies: Policies) -> SizeEstimate:
-    """Estimate a completion from its prompt's length and its token bound."""
-    text = call.text()
+def estimate_completion(
+    request: CompletionRequest, policies: Policies
+) -> SizeEstimate:
+    """Estimate a completion's size from its prompt length and token limit."""
+    text = request.prompt_text()
     prompt_tokens = len(text) / _CHARS_PER_TOKEN
-    tokens = call.max_tokens + _PROMPT_TOKEN_SHARE * prompt_tokens
+    weighted_tokens = request.max_tokens + _PROMPT_TOKEN_COST * prompt_tokens
     return SizeEstimate(
-        cost_ms=tokens * policies.token_ms,
-        long=tokens > policies.long_tokens,
+        cost_ms=weighted_tokens * policies.token_ms,
+        long=weighted_tokens > policies.long_tokens,
         prefix=text[:_PREFIX_CHARS],
-        tokens=int(call.max_tokens + prompt_tokens),
+        tokens=int(request.max_tokens + prompt_tokens),
     )
 
 
