--- a/src/amaranthrail/policy/__init__.py
+++ b/src/amaranthrail/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decide without doing: pick, admit, size, retry, plan."""
+"""Make routing, admission, retry and placement decisions without any I/O."""
--- a/src/amaranthrail/policy/retries.py
+++ b/src/amaranthrail/policy/retries.py
@@ -1,17 +1,18 @@
-"""Bound retries to a share of first tries."""
+"""Limit retries to a share of first attempts, with a token bucket."""
 
 from __future__ import annotations
 
-_MAX_SAVED = 10.0
+#: Retries that can be saved up: the capacity of the token bucket.
+_MAX_BALANCE = 10.0
 
 
 class RetryBudget:
-    """Earn a share of a retry with each first try, up to a few saved."""
+    """Add a share of a retry per first attempt, up to a maximum balance."""
 
     def __init__(self, share: float) -> None:
-        """Take the retries allowed for one first try."""
+        """Set the retries per first attempt; start full unless it is 0."""
         self._share = share
-        self._balance = _MAX_SAVED if share else 0.0
+        self._balance = _MAX_BALANCE if share else 0.0
 
     @property
     def balance(self) -> float:
@@ -19,15 +20,15 @@
         return self._balance
 
     def update_share(self, share: float) -> None:
-        """Take a new share; what has been saved stays."""
+        """Change the retries per first attempt and keep the balance."""
         self._share = share
 
     def deposit(self) -> None:
-        """Count a first try."""
-        self._balance = min(_MAX_SAVED, self._balance + self._share)
+        """Add the share for one first attempt."""
+        self._balance = min(_MAX_BALANCE, self._balance + self._share)
 
     def try_withdraw(self) -> bool:
-        """Take one retry from the budget; tell whether there was one."""
+        """Withdraw one retry if the balance allows it; tell whether it did."""
         if self._balance < 1:
             return False
         self._balance -= 1
--- a/src/amaranthrail/policy/stalls.py
+++ b/src/amaranthrail/policy/stalls.py
@@ -1,30 +1,31 @@
-"""Tell when a stream's silence is that of its upstream alone.
+"""Detect a stream that stalls because of its own upstream only.
 
-Load pattern: a few upstreams take calls and never answer, or stop in the middle
-of a stream, while their health answers are good. At other times a whole group
-stands still or goes slowly, and no other upstream would be faster.
+Load pattern: a few upstreams accept calls and never answer, or stop in the
+middle of a stream, while their health checks pass. At other times a whole group
+stops or is slow, and no other upstream would be faster.
 """
 
 from __future__ import annotations
 
-#: Silence after which a stream goes on elsewhere, in ms: callers leave after
-#: 2,000, so another upstream has as long.
-MAX_SILENCE_MS = 1000.0
-#: The same in passes, for groups that go slowly.
-MAX_SILENT_PASSES = 4.0
-#: Age of the latest event of the service's other streams up to which they go
-#: on, in ms; a pass takes 60 to 130.
-OTHERS_AGE_MS = 300.0
+#: Time without an event after which a stream is retried on another upstream, in
+#: ms. Callers give up after 2,000, so the other upstream has as long.
+STALL_TIMEOUT_MS = 1000.0
+#: The same in engine steps, for groups with slow steps.
+STALL_TIMEOUT_STEPS = 4.0
+#: Age of the latest event of the service's other streams up to which they are
+#: not stalled, in ms; a step takes 60 to 130.
+MAX_OTHERS_AGE_MS = 300.0
 
 
 def is_stream_stalled(
-    silent_ms: float, pass_ms: float | None, age_ms: float
+    silent_ms: float, step_ms: float | None, others_age_ms: float
 ) -> bool:
-    """Tell whether a stream is silent while others of its service go on.
+    """Tell whether a stream stalls while others of its service do not.
 
-    ``pass_ms`` is the pause between their events lately, None where there are
-    none, and ``age_ms`` the time since the latest.
+    ``silent_ms`` is the time since its last event. ``step_ms`` is the recent
+    time between the other streams' events, None if there are none, and
+    ``others_age_ms`` the time since their latest event.
     """
-    if pass_ms is None or age_ms > OTHERS_AGE_MS:
+    if step_ms is None or others_age_ms > MAX_OTHERS_AGE_MS:
         return False
-    return silent_ms > max(MAX_SILENCE_MS, MAX_SILENT_PASSES * pass_ms)
+    return silent_ms > max(STALL_TIMEOUT_MS, STALL_TIMEOUT_STEPS * step_ms)
