--- a/src/amaranthrail/policy/admission.py
+++ b/src/amaranthrail/policy/admission.py
@@ -19,7 +19,7 @@
 #: The estimate is up to a heartbeat old, and requests must still be answered
 #: in time when the queue is at its limit.
 MAX_WAIT_SHARE = 0.6
-#: Ratio of the longest allowed time in a slot to the estimated time.
+#: Longest time in a slot that is planned for, as a multiple of the estimate.
 COST_MARGIN = 1.2
 
 
--- a/src/amaranthrail/policy/expertplan.py
+++ b/src/amaranthrail/policy/expertplan.py
@@ -31,7 +31,7 @@
     """Bound a plan for one layer set.
 
     ``placements`` is the most experts that a rank may hold, and ``spare`` the
-    most among them that it does not hold yet.
+    most of them that the plan may add to its current ones.
     """
 
     placements: int
--- a/src/amaranthrail/policy/sizes.py
+++ b/src/amaranthrail/policy/sizes.py
@@ -41,7 +41,8 @@
     """Hold a request's expected time in a slot and its size class.
 
     ``prefix`` is the beginning of the prompt, and ``tokens`` the number of its
-    tokens and of those that may be generated, each unset for a plain operation.
+    tokens and of those that may be generated. Both keep their defaults for a
+    plain operation.
     """
 
     cost_ms: float
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -116,7 +116,8 @@
 
 @pytest.mark.parametrize(
     ('failure_rate', 'is_ejected'),
-    # A healthy upstream fails 0.14 of idempotent calls, a failing one 0.45.
+    # A healthy upstream fails 0.14 of idempotent calls, one with a partial
+    # failure 0.45.
     [(0.14, False), (0.9, True)],
 )
 def test_only_upstreams_with_a_high_failure_rate_are_ejected(
