--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -157,8 +157,8 @@
                 view.name,
                 chosen.record.sequence,
                 view.own_calls,
-                round(view.others, 1),
-                view.avoided,
+                round(view.other_calls, 1),
+                view.is_ejected,
             ),
         )
         return chosen
--- a/src/amaranthrail/direct/loads.py
+++ b/src/amaranthrail/direct/loads.py
@@ -100,7 +100,7 @@
             calls,
             live_hosts,
             own.started_at,
-            own.leaving_at,
+            own.shutdown_at,
             self._cluster.complete,
             self._cluster.version,
         )
--- a/src/amaranthrail/direct/members.py
+++ b/src/amaranthrail/direct/members.py
@@ -10,9 +10,9 @@
 from ..logs import part_logger
 from ..policy.membership import (
     Member,
-    expected_life_ms,
-    is_alive,
     is_leader,
+    is_live,
+    liveness_timeout_ms,
     runs_longer_than,
 )
 
@@ -75,7 +75,7 @@
 
         The result is empty until this entry has run that long itself.
         """
-        if self._clock.now() - self._own.heard_at < HOST_RETENTION_MS:
+        if self._clock.now() - self._own.last_seen_at < HOST_RETENTION_MS:
             return frozenset()
         self._drop_old_reports()
         reached = frozenset(self._reports) | self._reported
@@ -126,7 +126,7 @@
 
     def begin_shutdown(self) -> None:
         """Report from now on that this entry is shutting down."""
-        self._own = replace(self._own, leaving_at=self._clock.wall())
+        self._own = replace(self._own, shutdown_at=self._clock.wall())
 
     def _live_members(self) -> list[Member]:
         now = self._clock.now()
@@ -134,14 +134,14 @@
         return [
             member
             for member in self._reports.values()
-            if is_alive(member, now, timeout_ms)
+            if is_live(member, now, timeout_ms)
         ]
 
     def _liveness_timeout_ms(self) -> float:
-        return expected_life_ms(self.count, MAX_REPORT_PEERS)
+        return liveness_timeout_ms(self.count, MAX_REPORT_PEERS)
 
     def _drop_old_reports(self) -> None:
         oldest = self._clock.now() - HOST_RETENTION_MS
         for host, member in list(self._reports.items()):
-            if member.heard_at < oldest:
+            if member.last_seen_at < oldest:
                 del self._reports[host]
--- a/src/amaranthrail/direct/retrybudgets.py
+++ b/src/amaranthrail/direct/retrybudgets.py
@@ -33,13 +33,12 @@
 
     def record_call(self, service: ServiceName) -> None:
         """Count a caller's request, from which the budget grows."""
-        self._budget(service).note_call(self._clock.now())
+        self._budget(service).record_call(self._clock.now())
 
     def spend(self, service: ServiceName) -> bool:
         """Take a retry from a service's budget; return whether one was left."""
-        return self._budget(service).spend(
-            self._clock.now(),
-            self._entry_count(),
+        return self._budget(service).try_withdraw(
+            self._clock.now(), self._entry_count()
         )
 
     def _budget(self, service: ServiceName) -> WindowRetryBudget:
--- a/src/amaranthrail/direct/shutdown.py
+++ b/src/amaranthrail/direct/shutdown.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..policy.shutdown import FINISH_SHARE, may_end, takes_call
+from ..policy.shutdown import CALL_COMPLETION_SHARE, can_accept_call, can_exit
 from ..types import Millis
 from .call import Call
 from .members import Members
@@ -28,11 +28,11 @@
         self._members.begin_shutdown()
         self._shutdown_ms = shutdown_ms
         self._began_at = self._clock.now()
-        return self._began_at + FINISH_SHARE * shutdown_ms
+        return self._began_at + CALL_COMPLETION_SHARE * shutdown_ms
 
     def can_exit(self, active: int) -> bool:
         """Tell whether the process may exit with ``active`` calls."""
-        return may_end(
+        return can_exit(
             active=active,
             store_lost=self._store_status.lost,
             successors=self._members.successor_count,
@@ -42,7 +42,7 @@
         """Tell whether a call that arrives now can be finished in time."""
         if self._began_at is None:
             return True
-        return takes_call(
+        return can_accept_call(
             call.arrived_at - self._began_at,
             call.deadline - call.arrived_at,
             self._shutdown_ms,
--- a/src/amaranthrail/direct/upstreams.py
+++ b/src/amaranthrail/direct/upstreams.py
@@ -112,8 +112,8 @@
             self._record.slots,
             self._in_flight,
             max(others, reported),
-            near=self._record.domain == domain,
-            avoided=self._health.is_ejected(now),
+            is_same_domain=self._record.domain == domain,
+            is_ejected=self._health.is_ejected(now),
         )
 
 
--- a/src/amaranthrail/entry/administration.py
+++ b/src/amaranthrail/entry/administration.py
@@ -131,7 +131,7 @@
             'facts_waiting': context.shards.pending_count,
             'shard_appends': context.shards.append_count,
             'shard_appends_unanswered': context.shards.unanswered_count,
-            'retries_saved': context.budget.saved,
+            'retries_saved': context.budget.balance,
         }
         for name, gauge_value in gauges.items():
             self._runtime.metrics.gauge(name, gauge_value)
--- a/src/amaranthrail/entry/callerhandler.py
+++ b/src/amaranthrail/entry/callerhandler.py
@@ -10,10 +10,10 @@
 from ..adapters.problem import send_refusal
 from ..outcomes import Reason, Refusal, not_run
 from ..policy.sizes import (
-    Size,
-    parse_model_call,
-    size_model_call,
-    size_operation,
+    SizeEstimate,
+    estimate_completion,
+    estimate_operation,
+    parse_completion,
 )
 from ..types import KEY_HEADER
 from .call import Call
@@ -59,7 +59,10 @@
     async def _serve(self, call: Call, reply: Reply) -> None:
         organisation = call.organisation.name
         shares = self._context.shares
-        if shares.count(organisation) >= call.organisation.limits.concurrent:
+        if (
+            shares.in_progress_count(organisation)
+            >= call.organisation.limits.concurrent
+        ):
             refusal = not_run(
                 Reason.ORGANISATION_LIMIT,
                 f'{organisation} has its maximum of requests in progress',
@@ -68,11 +71,11 @@
             self._count_refusal(refusal)
             await send_refusal(reply, refusal)
             return
-        shares.take(organisation, call.size.cost_ms)
+        shares.add(organisation, call.size.cost_ms)
         try:
             await self._process(call, reply)
         finally:
-            shares.give_back(organisation, call.size.cost_ms)
+            shares.remove(organisation, call.size.cost_ms)
 
     async def _process(self, call: Call, reply: Reply) -> None:
         if call.route.operation.idempotent:
@@ -123,20 +126,20 @@
 def _find_route(
     routes: RouteTable,
     request: HttpRequest,
-) -> tuple[Route, Size] | Refusal:
+) -> tuple[Route, SizeEstimate] | Refusal:
     if request.path in MODEL_PATHS and request.method == 'POST':
         return _find_model_route(routes, request)
     route = routes.find_plain_route(request.method, request.path)
     if route is None:
         return not_run(Reason.NO_ROUTE, f'no service at {request.path!r:.120}')
-    return route, size_operation(route.operation)
+    return route, estimate_operation(route.operation)
 
 
 def _find_model_route(
     routes: RouteTable,
     request: HttpRequest,
-) -> tuple[Route, Size] | Refusal:
-    model_call = parse_model_call(request.body)
+) -> tuple[Route, SizeEstimate] | Refusal:
+    model_call = parse_completion(request.body)
     if model_call is None:
         return not_run(
             Reason.BAD_REQUEST,
@@ -146,7 +149,7 @@
     route = routes.find_model_route(model_call.model, request.path)
     if route is None:
         return not_run(Reason.NO_ROUTE, f'no model {model_call.model!r:.80}')
-    return route, size_model_call(model_call, route.service.policies)
+    return route, estimate_completion(model_call, route.service.policies)
 
 
 def _parse_deadline_ms(request: HttpRequest, route: Route) -> float | Refusal:
--- a/src/amaranthrail/entry/context.py
+++ b/src/amaranthrail/entry/context.py
@@ -8,7 +8,7 @@
 from ..configuration import ActiveManifest
 from ..manifest import AdmissionPolicy, Service
 from ..outcomes import Reason, Refusal, not_run
-from ..policy.admission import Demand, FairShares, admit
+from ..policy.admission import AdmissionRequest, FairShares, check_admission
 from ..policy.balancing import Balancer, make_balancer
 from ..policy.retries import RetryBudget
 from ..runtime import Runtime
@@ -160,7 +160,7 @@
         *,
         admitted: bool,
     ) -> Refusal | None:
-        demand = Demand(
+        demand = AdmissionRequest(
             call.organisation.name,
             call.size.cost_ms,
             call.remaining_ms(self._runtime.clock),
@@ -168,7 +168,7 @@
         )
         shares = FairShares() if admitted else self._shares
         weights = self.routes.weights if self.routes else {}
-        return admit(demand, shares, weights)
+        return check_admission(demand, shares, weights)
 
     def _balancer(self, service: Service) -> Balancer:
         balancers = self._policies.balancers
@@ -183,7 +183,7 @@
         manifest = in_force.manifest
         self._policies.routes = RouteTable(manifest)
         self._policies.balancers.clear()
-        self._policies.budget.change_share(manifest.limits.retry_share)
+        self._policies.budget.update_share(manifest.limits.retry_share)
         self._policies.max_body_bytes = manifest.limits.max_body_bytes
         self._runtime.metrics.gauge('manifest_version', in_force.version)
         self._runtime.timeline.add('manifest-in-force', str(in_force.version))
--- a/src/amaranthrail/entry/forward.py
+++ b/src/amaranthrail/entry/forward.py
@@ -43,7 +43,7 @@
     caller there is no retry: a response that fails then ends without its last
     chunk, so that the caller can tell that it is truncated.
     """
-    context.budget.earn()
+    context.budget.deposit()
     excluded: frozenset[str] = frozenset()
     failure: Refusal | None = None
     for _ in range(MAX_ATTEMPTS):
@@ -68,7 +68,9 @@
 def _can_retry(context: EntryContext, failure: Refusal) -> bool:
     if failure.reason in _FINAL_REASONS:
         return False
-    return failure.reason in _UNBUDGETED_REASONS or context.budget.spend()
+    return (
+        failure.reason in _UNBUDGETED_REASONS or context.budget.try_withdraw()
+    )
 
 
 async def _attempt_once(
--- a/src/amaranthrail/entry/load.py
+++ b/src/amaranthrail/entry/load.py
@@ -12,7 +12,7 @@
     NO_WORK,
     ReplicaLoad,
     Work,
-    expected_wait,
+    expected_wait_ms,
     report_weight,
 )
 
@@ -65,8 +65,8 @@
             self._others[True].add(self._own[True]),
             self._slots,
         )
-        wait_ms = expected_wait(load, long_share, long=long)
-        return Candidate(self._name, wait_ms, load.busy)
+        wait_ms = expected_wait_ms(load, long_share, long=long)
+        return Candidate(self._name, wait_ms, load.backlog_ms)
 
     def _update_others(
         self, reported: Work, interval_ms: float, *, long: bool
--- a/src/amaranthrail/entry/renewal.py
+++ b/src/amaranthrail/entry/renewal.py
@@ -8,7 +8,7 @@
 from ..consumer import StreamConsumer
 from ..exceptions import LogUnavailableError
 from ..logs import part_logger
-from ..policy.balancing import rendezvous
+from ..policy.balancing import rendezvous_score
 from ..ports import LogPort
 from ..records import (
     CONTROL_STREAM,
@@ -102,6 +102,8 @@
         retention = self._control.retention_ms
         if retention <= 0:
             return False
-        stagger = rendezvous(subject, self._runtime.incarnation) % 100 / 100
+        stagger = (
+            rendezvous_score(subject, self._runtime.incarnation) % 100 / 100
+        )
         bound = retention * (_RENEW_SHARE + _STAGGER_SHARE * stagger)
         return self._runtime.clock.wall() - recorded_at > bound
--- a/src/amaranthrail/entry/settlement.py
+++ b/src/amaranthrail/entry/settlement.py
@@ -6,7 +6,7 @@
 from ..clock import MS_PER_SECOND, move_on_after, sleep
 from ..logs import part_logger
 from ..outcomes import Outcome, Reason, not_run, unknown_outcome
-from ..policy.balancing import rendezvous
+from ..policy.balancing import rendezvous_score
 from ..records import AttemptState, Intent
 from ..types import IdempotencyKey
 from .conclusions import CallResult, ConclusionRecorder, recorded_result
@@ -45,7 +45,9 @@
         """
         # Each entry adds its own delay below _STAGGER_MS, so that usually one
         # entry settles a key and the others read its conclusion.
-        stagger_hash = rendezvous(record.intent.id, self._runtime.incarnation)
+        stagger_hash = rendezvous_score(
+            record.intent.id, self._runtime.incarnation
+        )
         grace_ms = (
             self._context.settings.lost_grace_ms + stagger_hash % _STAGGER_MS
         )
--- a/src/amaranthrail/policy/retries.py
+++ b/src/amaranthrail/policy/retries.py
@@ -1,34 +1,35 @@
-"""Bound retries to a share of first tries."""
+"""Limit retries to a share of first attempts, with a token bucket."""
 
 from __future__ import annotations
 
-_MAX_SAVED = 10.0
+#: Retries that can be saved up: the capacity of the token bucket.
+_MAX_BALANCE = 10.0
 
 
 class RetryBudget:
-    """Earn a share of a retry with each first try, up to a few saved."""
+    """Add a share of a retry per first attempt, up to a maximum balance."""
 
     def __init__(self, share: float) -> None:
-        """Take the retries allowed for one first try."""
+        """Set the retries per first attempt; start full unless it is 0."""
         self._share = share
-        self._saved = _MAX_SAVED if share else 0.0
+        self._balance = _MAX_BALANCE if share else 0.0
 
     @property
-    def saved(self) -> float:
+    def balance(self) -> float:
         """Return how many retries could be made now."""
-        return self._saved
+        return self._balance
 
-    def change_share(self, share: float) -> None:
-        """Take a new share; what has been saved stays."""
+    def update_share(self, share: float) -> None:
+        """Change the retries per first attempt and keep the balance."""
         self._share = share
 
-    def earn(self) -> None:
-        """Count a first try."""
-        self._saved = min(_MAX_SAVED, self._saved + self._share)
+    def deposit(self) -> None:
+        """Add the share for one first attempt."""
+        self._balance = min(_MAX_BALANCE, self._balance + self._share)
 
-    def spend(self) -> bool:
-        """Take one retry from the budget; tell whether there was one."""
-        if self._saved < 1:
+    def try_withdraw(self) -> bool:
+        """Withdraw one retry if the balance allows it; tell whether it did."""
+        if self._balance < 1:
             return False
-        self._saved -= 1
+        self._balance -= 1
         return True
--- a/src/amaranthrail/ranks/controller.py
+++ b/src/amaranthrail/ranks/controller.py
@@ -12,7 +12,7 @@
 from ..direct.deployment import Deployment, ExpertLayout, Service
 from ..direct.upstreams import Upstream
 from ..logs import part_logger
-from ..policy.rebalancing import can_follow
+from ..policy.rebalancing import can_rebalance
 from ..types import ServiceName
 from .leader import Leader
 from .ports import RankPort
@@ -74,7 +74,7 @@
         for service in deployment.services.values():
             layout = service.layout
             # Reports are billed, and of no use where maps cannot be changed.
-            if layout is None or not can_follow(layout.sets, layout.experts):
+            if layout is None or not can_rebalance(layout.sets, layout.experts):
                 continue
             leader = self._get_leader(deployment, service, layout)
             await self._update_group(service.name, leader)
--- a/src/amaranthrail/ranks/leader.py
+++ b/src/amaranthrail/ranks/leader.py
@@ -15,10 +15,14 @@
 from ..policy.expertplan import (
     PlanLimits,
     default_placement,
-    plan_set,
-    set_skew,
+    layer_set_skew,
+    plan_layer_set,
+)
+from ..policy.rebalancing import (
+    has_moderate_load,
+    should_change_map,
+    should_read_counts,
 )
-from ..policy.rebalancing import counts_due, is_warm, pays
 from .change import ChangeOutcome, ChangeRequest, MapChange, query_ranks
 from .ports import (
     MapOrder,
@@ -166,7 +170,7 @@
         await self._sample_demand()
         if self.is_backing_off or report.armed_version:
             return
-        if self._demand.settled:
+        if self._demand.has_enough_counts:
             await self._rebalance(report)
 
     async def _sample_demand(self) -> None:
@@ -175,10 +179,10 @@
         now = self._clock.now()
         sampled_at = group.sampled_at
         age_ms = None if sampled_at is None else now - sampled_at
-        if not counts_due(age_ms, group.step_ms, self._target_gap_ms):
+        if not should_read_counts(age_ms, group.step_ms, self._target_gap_ms):
             return
         group.sampled_at = now
-        self._demand.age(now)
+        self._demand.decay(now)
         ranks = [self._next_sampled_rank()]
         if sampled_at is None:
             # Demand is the growth of a rank's counts between two samples, so
@@ -187,7 +191,7 @@
         for rank in ranks:
             counts = await self._ranks[rank].fetch_counts()
             if counts is not None:
-                self._demand.take(rank, counts.selections)
+                self._demand.update_counts(rank, counts.selections)
 
     def _next_sampled_rank(self) -> int:
         """Return the rank to sample next, in round-robin order."""
@@ -220,7 +224,7 @@
             _log.info(
                 'group epoch started', group=report.group, epoch=report.epoch
             )
-            self._demand.forget()
+            self._demand.reset()
             self._group = _GroupState(report.epoch, last_step_at=now)
             self._group.last_step = report.step
         group = self._group
@@ -275,7 +279,7 @@
     async def _rebalance(self, report: RankReport) -> None:
         group = self._group
         placement = group.placement
-        if not is_warm(group.step_ms, self._target_gap_ms):
+        if not has_moderate_load(group.step_ms, self._target_gap_ms):
             return
         if placement is None or len(self._ranks) != report.size:
             return
@@ -283,7 +287,9 @@
         skew_before = self._mean_skew(placement)
         skew_after = self._mean_skew(planned)
         saving = 1 - skew_after / skew_before
-        if not pays(saving, self._group.step_ms, self._target_gap_ms):
+        if not should_change_map(
+            saving, self._group.step_ms, self._target_gap_ms
+        ):
             return
         new_experts = _new_experts_by_rank(placement, planned)
         request = ChangeRequest(
@@ -316,15 +322,17 @@
         limits = PlanLimits(self._layout.placements, self._layout.spare)
         planned = []
         for index, current in enumerate(placement):
-            weights = self._demand.of_set(index)
-            planned.append(plan_set(current, weights, limits, self._random))
+            weights = self._demand.layer_set_weights(index)
+            planned.append(
+                plan_layer_set(current, weights, limits, self._random)
+            )
             # Let other tasks serve callers between the sets of a large group.
             await trio.lowlevel.checkpoint()
         return tuple(planned)
 
     def _mean_skew(self, placement: Placement) -> float:
         skews = [
-            set_skew(set_placement, self._demand.of_set(index))
+            layer_set_skew(set_placement, self._demand.layer_set_weights(index))
             for index, set_placement in enumerate(placement)
         ]
         return sum(skews) / len(skews)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -7,11 +7,11 @@
 from amaranthrail.clock import Clock
 from amaranthrail.direct.members import HOST_RETENTION_MS, Members
 from amaranthrail.policy.membership import (
-    LIFE_MS,
-    SETTLE_MS,
+    LEADER_DELAY_MS,
+    LIVENESS_TIMEOUT_MS,
     Member,
-    expected_life_ms,
     is_leader,
+    liveness_timeout_ms,
     runs_longer_than,
 )
 
@@ -64,21 +64,21 @@
     *, leaving: bool
 ) -> None:
     own = Member('b', 5000, 0)
-    silent_ms = 0 if leaving else LIFE_MS
+    silent_ms = 0 if leaving else LIVENESS_TIMEOUT_MS
     leader = Member('a', 4000, SETTLED - silent_ms, int(leaving))
     assert is_leader(own, [leader], SETTLED)
 
 
 def test_an_entry_waits_for_reports_before_it_becomes_leader() -> None:
     own = Member('a', 5000, SETTLED)
-    assert not is_leader(own, [], SETTLED + SETTLE_MS - 1)
-    assert is_leader(own, [], SETTLED + SETTLE_MS)
+    assert not is_leader(own, [], SETTLED + LEADER_DELAY_MS - 1)
+    assert is_leader(own, [], SETTLED + LEADER_DELAY_MS)
 
 
 def test_an_entry_that_shuts_down_is_not_leader() -> None:
     time = FakeTime()
     members = new_members(time)
-    time.advance_ms(LIFE_MS)
+    time.advance_ms(LIVENESS_TIMEOUT_MS)
     assert members.check_leadership()
     members.begin_shutdown()
     assert not members.check_leadership()
@@ -86,11 +86,13 @@
 
 def test_the_liveness_timeout_grows_with_the_number_of_entries() -> None:
     assert (
-        expected_life_ms(1, 24)
-        == expected_life_ms(25, 24)
-        == pytest.approx(LIFE_MS)
+        liveness_timeout_ms(1, 24)
+        == liveness_timeout_ms(25, 24)
+        == pytest.approx(LIVENESS_TIMEOUT_MS)
+    )
+    assert liveness_timeout_ms(330, 24) == pytest.approx(
+        14 * LIVENESS_TIMEOUT_MS
     )
-    assert expected_life_ms(330, 24) == pytest.approx(14 * LIFE_MS)
 
 
 def test_an_unreachable_entry_still_shares_the_retry_budget() -> None:
@@ -128,10 +130,10 @@
     time = FakeTime()
     members = new_members(time)
     members.begin_shutdown()
-    shutdown_at = members.own.leaving_at
+    shutdown_at = members.own.shutdown_at
     now = time() * 1000
     members.record_report(Member('a', 1, now, shutdown_at - 1))
-    members.record_report(Member('c', 1, now, informed=False))
+    members.record_report(Member('c', 1, now, has_cluster_state=False))
     assert members.successor_count == 0
     members.record_report(Member('a', 1, now, shutdown_at + 1))
     members.record_report(Member('c', 1, now))
--- a/tests/test_shared_loads.py
+++ b/tests/test_shared_loads.py
@@ -71,7 +71,8 @@
         ]
         views_with_reports = [
             replace(
-                view, others=sum(counts[index] for counts in own) - calls[index]
+                view,
+                other_calls=sum(counts[index] for counts in own) - calls[index],
             )
             for index, view in enumerate(views)
         ]
@@ -100,6 +101,6 @@
     )
     upstream = Upstream(record, Clock(time))
     upstream.record_load(ReportedLoad(running=5, waiting=2, slots=SLOTS))
-    assert upstream.view(DomainName('a'), 1).others == pytest.approx(7)
+    assert upstream.view(DomainName('a'), 1).other_calls == pytest.approx(7)
     time.now_s += 10
-    assert upstream.view(DomainName('a'), 1).others == pytest.approx(1)
+    assert upstream.view(DomainName('a'), 1).other_calls == pytest.approx(1)
