--- a/src/amaranthrail/adapters/httpclient.py
+++ b/src/amaranthrail/adapters/httpclient.py
@@ -66,7 +66,7 @@
     return Address(host.strip('[]'), int(port))
 
 
-class HttpAnswer(msgspec.Struct, frozen=True):
+class HttpResponse(msgspec.Struct, frozen=True):
     """Hold one whole answer."""
 
     status: int
@@ -205,7 +205,7 @@
         body: bytes = b'',
         *,
         fresh: bool = False,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Return the whole answer to a request. Raises HttpError."""
         async with self.exchange(
             method,
@@ -216,7 +216,7 @@
         ) as exchange:
             async with aclosing(exchange.parts()) as parts:
                 chunks = [part async for part in parts]
-            return HttpAnswer(
+            return HttpResponse(
                 exchange.status,
                 exchange.headers,
                 b''.join(chunks),
--- a/src/amaranthrail/adapters/platform.py
+++ b/src/amaranthrail/adapters/platform.py
@@ -11,7 +11,7 @@
 from ..exceptions import HttpError, LogUnavailableError
 from ..ports import HostRecord, HostState, LogBatch, LogEntry
 from ..types import DomainName, Offset, ServiceName, UpstreamName
-from .httpclient import Address, HttpAnswer, HttpClient
+from .httpclient import Address, HttpClient, HttpResponse
 
 APPEND_TIMEOUT_MS = 1000
 _READ_MARGIN_MS = 1500
@@ -133,8 +133,8 @@
     target: str,
     body: bytes,
     timeout_ms: int,
-) -> HttpAnswer:
-    answer: HttpAnswer | None = None
+) -> HttpResponse:
+    answer: HttpResponse | None = None
     try:
         with move_on_after(timeout_ms):
             answer = await client.call(method, target, body=body)
--- a/src/amaranthrail/adapters/rankengine.py
+++ b/src/amaranthrail/adapters/rankengine.py
@@ -9,7 +9,7 @@
 from ..clock import move_on_after
 from ..exceptions import HttpError
 from ..ports import EngineState
-from .httpclient import Address, HttpAnswer, HttpClient
+from .httpclient import Address, HttpClient, HttpResponse
 
 ORDER_TIMEOUT_MS = 800
 WEIGHTS_TIMEOUT_MS = 60_000
@@ -89,7 +89,7 @@
     target: str,
     timeout_ms: float,
     body: bytes = b'',
-) -> HttpAnswer | None:
+) -> HttpResponse | None:
     """Return a successful answer, None for any other or none in time."""
     with move_on_after(timeout_ms):
         try:
--- a/src/amaranthrail/api.py
+++ b/src/amaranthrail/api.py
@@ -11,7 +11,7 @@
 import msgspec
 import trio
 
-from .adapters.httpclient import HttpAnswer, HttpClient, parse_address
+from .adapters.httpclient import HttpClient, HttpResponse, parse_address
 from .adapters.platform import HttpLog
 from .clock import move_on_after
 from .configuration import Configuration, PublishResult
@@ -149,7 +149,7 @@
         method: str,
         target: str,
         body: bytes = b'',
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         error = ApiError('no entry given: set --admin')
         for client in self._clients:
             try:
@@ -164,7 +164,7 @@
         method: str,
         target: str,
         body: bytes = b'',
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         try:
             with trio.fail_after(CALL_TIMEOUT_MS / 1000):
                 answer = await client.call(
--- a/src/amaranthrail/entry/callers.py
+++ b/src/amaranthrail/entry/callers.py
@@ -4,7 +4,7 @@
 
 import itertools
 
-from ..adapters.httpclient import HttpAnswer
+from ..adapters.httpclient import HttpResponse
 from ..adapters.httpserver import HttpRequest, Reply
 from ..adapters.probes import send_ready
 from ..adapters.problem import send_refusal
@@ -77,7 +77,7 @@
             await forward(self._core, call, reply)
             return
         answer = await self._filings.file(call)
-        if isinstance(answer, HttpAnswer):
+        if isinstance(answer, HttpResponse):
             headers = answer_headers(answer.headers, call)
             await reply.whole(answer.status, headers, answer.body)
             return
--- a/src/amaranthrail/entry/conclusions.py
+++ b/src/amaranthrail/entry/conclusions.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..adapters.httpclient import HttpAnswer
+from ..adapters.httpclient import HttpResponse
 from ..outcomes import Outcome, Reason, Refusal, not_run, unknown_outcome
 from ..records import AttemptState, Conclusion, Intent
 from ..runtime import Runtime
@@ -12,7 +12,7 @@
 
 MAX_KEPT_BODY_BYTES = 262_144
 
-Answer = HttpAnswer | Refusal
+Answer = HttpResponse | Refusal
 
 
 class Conclusions:
@@ -35,7 +35,7 @@
         """Record that what became of an attempt cannot be known."""
         self._conclude(intent, AttemptState.LOST, reason)
 
-    def ran(self, intent: Intent, answer: HttpAnswer) -> None:
+    def ran(self, intent: Intent, answer: HttpResponse) -> None:
         """Record that an attempt ran, and its answer."""
         too_large = len(answer.body) > MAX_KEPT_BODY_BYTES
         self._add(
@@ -89,7 +89,7 @@
     if filing.state is AttemptState.RAN and conclusion is not None:
         if conclusion.reason:
             return Refusal(Outcome.RAN, Reason.ANSWER_TOO_LARGE, 'not kept')
-        return HttpAnswer(
+        return HttpResponse(
             conclusion.status,
             conclusion.headers,
             conclusion.body,
--- a/src/amaranthrail/entry/inquiries.py
+++ b/src/amaranthrail/entry/inquiries.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from ..adapters.httpclient import HttpAnswer
+from ..adapters.httpclient import HttpResponse
 from ..clock import move_on_after
 from ..outcomes import Outcome, Reason, Refusal, unknown_outcome
 from ..records import Intent
@@ -64,7 +64,7 @@
                 exchange = peer.ask_key(call.key or '')
                 answer = await self.collect(peer, exchange, ASK_TIMEOUT_MS)
                 told.append(answer)
-                if isinstance(answer, HttpAnswer):
+                if isinstance(answer, HttpResponse):
                     nursery.cancel_scope.cancel()
 
             for peer in self._core.roster.connected(call.route.service.name):
@@ -76,7 +76,7 @@
     """Return an answer that ran, else a doubt, else None."""
     doubt: Answer | None = None
     for answer in told:
-        if isinstance(answer, HttpAnswer):
+        if isinstance(answer, HttpResponse):
             return answer
         if answer.outcome is Outcome.UNKNOWN:
             doubt = answer
@@ -90,4 +90,4 @@
     body = await exchange.read_rest()
     if isinstance(body, Refusal):
         return body
-    return HttpAnswer(head.status, head.headers, body)
+    return HttpResponse(head.status, head.headers, body)
--- a/src/amaranthrail/entry/settlement.py
+++ b/src/amaranthrail/entry/settlement.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..adapters.httpclient import HttpAnswer
+from ..adapters.httpclient import HttpResponse
 from ..clock import MS_PER_SECOND, move_on_after, sleep
 from ..logs import part_logger
 from ..outcomes import Outcome, Reason, not_run, unknown_outcome
@@ -53,7 +53,7 @@
 
     async def take_outcome(self, intent: Intent, answer: Answer) -> Answer:
         """Conclude an attempt by the answer of its dispatch or inquiry."""
-        if isinstance(answer, HttpAnswer):
+        if isinstance(answer, HttpResponse):
             self._conclusions.ran(intent, answer)
             return answer
         if answer.outcome is Outcome.NOT_RUN:
--- a/src/amaranthrail/platform/ranks.py
+++ b/src/amaranthrail/platform/ranks.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ..adapters.httpclient import Address, HttpAnswer, HttpClient
+from ..adapters.httpclient import Address, HttpClient, HttpResponse
 from ..clock import move_on_after
 from ..exceptions import HttpError
 from ..logs import part_logger
@@ -165,7 +165,7 @@
         method: str,
         target: str,
         body: bytes = b'',
-    ) -> HttpAnswer | None:
+    ) -> HttpResponse | None:
         """Return the response, None on a connection error or a timeout."""
         headers = _JSON if body else ()
         timeout_ms = ORDER_TIMEOUT_MS if body else READ_TIMEOUT_MS
--- a/src/amaranthrail/platform/store.py
+++ b/src/amaranthrail/platform/store.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..adapters.httpclient import Address, HttpAnswer, HttpClient
+from ..adapters.httpclient import Address, HttpClient, HttpResponse
 from ..clock import move_on_after
 from ..direct.ports import (
     Changes,
@@ -121,8 +121,8 @@
         target: str,
         body: bytes,
         wait_ms: int = 0,
-    ) -> HttpAnswer | StoreFailure:
-        response: HttpAnswer | None = None
+    ) -> HttpResponse | StoreFailure:
+        response: HttpResponse | None = None
         try:
             with move_on_after(wait_ms + CALL_TIMEOUT_MS):
                 response = await self._client.call(method, target, body=body)
--- a/standins/platformfleet.py
+++ b/standins/platformfleet.py
@@ -16,7 +16,7 @@
 
 import trio
 
-from amaranthrail.adapters.httpclient import Address, HttpAnswer, HttpClient
+from amaranthrail.adapters.httpclient import Address, HttpClient, HttpResponse
 from amaranthrail.adapters.httpserver import (
     Handler,
     ServerLimits,
@@ -156,7 +156,7 @@
             while not await _is_ready(probe):  # noqa: ASYNC110
                 await trio.sleep(_LOOK_S)
 
-    async def call(self, method: str, path: str, attempt: str) -> HttpAnswer:
+    async def call(self, method: str, path: str, attempt: str) -> HttpResponse:
         """Return the answer to one call."""
         headers = (
             ('host', 'h.example'),
--- a/tests/platformbench.py
+++ b/tests/platformbench.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from amaranthrail.adapters.httpclient import Address, HttpAnswer, HttpClient
+from amaranthrail.adapters.httpclient import Address, HttpClient, HttpResponse
 from amaranthrail.direct.service import DirectEntry
 from amaranthrail.platform.program import WIRE_FORMAT
 from amaranthrail.platform.ranks import HttpRank
@@ -100,7 +100,7 @@
         path: str,
         method: str = 'GET',
         **headers: str,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Send a request with a valid API key; return the response.
 
         Underscores in the names of ``headers`` become hyphens.
--- a/tests/test_direct_path.py
+++ b/tests/test_direct_path.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 
-from amaranthrail.adapters.httpclient import HttpAnswer
+from amaranthrail.adapters.httpclient import HttpResponse
 from amaranthrail.exceptions import HttpError
 from amaranthrail.policy.shutdown import STREAM_INTAKE_MS
 from standins.keyedlog import KeyedLog, StoreFault
@@ -392,7 +392,7 @@
         entry = await bench.start_entry()
         await entry.until_ready()
         call = partial(entry.call, deadline_remaining_ms='8000')
-        answers: list[HttpAnswer] = []
+        answers: list[HttpResponse] = []
 
         async def ask() -> None:
             answers.append(await call('/stream/1', 'POST'))
