--- a/soak/world.py
+++ b/soak/world.py
@@ -13,7 +13,7 @@
 import trio
 
 from amaranthrail.adapters.httpclient import Address, parse_address
-from amaranthrail.adapters.httpserver import HttpRequest, Reply
+from amaranthrail.adapters.httpserver import HttpRequest, ResponseWriter
 from amaranthrail.exceptions import HttpError
 from standins.calling import connects
 from standins.keyedlog import StoreFault
@@ -155,7 +155,7 @@
     async def _add_host(self, service: str) -> None:
         replica = self._make_replica()
 
-        async def handle(request: HttpRequest, reply: Reply) -> None:
+        async def handle(request: HttpRequest, reply: ResponseWriter) -> None:
             await host.replica.handle(request, reply)
 
         address = await listen(self._nursery, handle)
--- a/src/amaranthrail/adapters/httpserver.py
+++ b/src/amaranthrail/adapters/httpserver.py
@@ -76,7 +76,7 @@
         )
 
 
-class Reply:
+class ResponseWriter:
     """Write one answer; an answer never finished closes the connection."""
 
     def __init__(self, connection: _Connection) -> None:
@@ -134,7 +134,7 @@
         )
 
 
-Handler = Callable[[HttpRequest, Reply], Awaitable[None]]
+Handler = Callable[[HttpRequest, ResponseWriter], Awaitable[None]]
 
 
 class ServerState:
@@ -368,7 +368,7 @@
     handler: Handler,
     request: HttpRequest,
 ) -> bool:
-    reply = Reply(connection)
+    reply = ResponseWriter(connection)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(connection.watch, nursery.cancel_scope)
         await handler(request, reply)
@@ -383,4 +383,4 @@
         ('x-outcome', 'not-run'),
         ('connection', 'close'),
     )
-    await Reply(connection).whole(status, headers, body % status)
+    await ResponseWriter(connection).whole(status, headers, body % status)
--- a/src/amaranthrail/adapters/probes.py
+++ b/src/amaranthrail/adapters/probes.py
@@ -7,7 +7,7 @@
 import trio
 
 from ..metrics import Metrics
-from .httpserver import Reply
+from .httpserver import ResponseWriter
 from .problem import send_json
 
 _OK = 200
@@ -15,18 +15,18 @@
 _METRICS_TYPE = ('content-type', 'text/plain; version=0.0.4')
 
 
-async def send_alive(reply: Reply) -> None:
+async def send_alive(reply: ResponseWriter) -> None:
     """Say that the process answers."""
     await send_json(reply, _OK, {'alive': True})
 
 
-async def send_ready(reply: Reply, *, ready: bool) -> None:
+async def send_ready(reply: ResponseWriter, *, ready: bool) -> None:
     """Say by the status whether the process takes new work."""
     status = _OK if ready else _UNAVAILABLE
     await send_json(reply, status, {'ready': ready})
 
 
-async def send_metrics(reply: Reply, metrics: Metrics) -> None:
+async def send_metrics(reply: ResponseWriter, metrics: Metrics) -> None:
     """Send all metrics in Prometheus text format.
 
     The module that writes them is imported in a thread: it takes longer than
--- a/src/amaranthrail/adapters/problem.py
+++ b/src/amaranthrail/adapters/problem.py
@@ -9,7 +9,7 @@
 from ..clock import MS_PER_SECOND
 from ..outcomes import Refusal
 from ..types import HeaderList
-from .httpserver import Reply
+from .httpserver import ResponseWriter
 
 JSON_TYPE = ('content-type', 'application/json')
 
@@ -25,7 +25,7 @@
 
 
 async def send_refusal(
-    reply: Reply,
+    reply: ResponseWriter,
     refusal: Refusal,
     headers: HeaderList = (),
 ) -> None:
@@ -57,6 +57,8 @@
     )
 
 
-async def send_json(reply: Reply, status: int, content: object) -> None:
+async def send_json(
+    reply: ResponseWriter, status: int, content: object
+) -> None:
     """Send any JSON-able content."""
     await reply.whole(status, (JSON_TYPE,), msgspec.json.encode(content))
--- a/src/amaranthrail/direct/callers.py
+++ b/src/amaranthrail/direct/callers.py
@@ -4,7 +4,7 @@
 
 import random
 
-from ..adapters.httpserver import HttpRequest, Reply
+from ..adapters.httpserver import HttpRequest, ResponseWriter
 from ..adapters.problem import send_refusal
 from ..clock import Clock
 from ..outcomes import Reason, Refusal, not_run
@@ -42,7 +42,7 @@
         self._clock = Clock()
         self._random = random.Random()
 
-    async def handle(self, request: HttpRequest, reply: Reply) -> None:
+    async def handle(self, request: HttpRequest, reply: ResponseWriter) -> None:
         """Answer one request."""
         facts = self._dialect.read_request(request)
         call = self._identify(request, facts)
--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -9,7 +9,7 @@
 import msgspec
 import trio
 
-from ..adapters.httpserver import Reply
+from ..adapters.httpserver import ResponseWriter
 from ..adapters.problem import send_refusal
 from ..clock import Clock, move_on_after
 from ..outcomes import Reason, Refusal, not_run, unknown_outcome
@@ -80,7 +80,7 @@
         self._clock = Clock()
         self._random = random.Random()
 
-    async def answer(self, call: Call, reply: Reply) -> None:
+    async def answer(self, call: Call, reply: ResponseWriter) -> None:
         """Answer a call; one that is given up gets its refusal at once."""
         self._repeats.note_call(call.service)
         engines = self._world.directory.pace(call.service)
--- a/src/amaranthrail/direct/relay.py
+++ b/src/amaranthrail/direct/relay.py
@@ -6,7 +6,7 @@
 from contextlib import AbstractContextManager, aclosing
 
 from ..adapters.httpclient import HttpExchange
-from ..adapters.httpserver import Reply
+from ..adapters.httpserver import ResponseWriter
 from ..clock import Clock
 from ..exceptions import HttpError
 from ..types import HeaderList
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        reply: Reply,
+        reply: ResponseWriter,
         last_id: str | None,
         pace: StreamTiming,
         engines: StepTimes,
--- a/src/amaranthrail/direct/service.py
+++ b/src/amaranthrail/direct/service.py
@@ -10,7 +10,7 @@
 from ..adapters.httpserver import (
     Handler,
     HttpRequest,
-    Reply,
+    ResponseWriter,
     ServerLimits,
     ServerState,
     serve_connection,
@@ -223,13 +223,15 @@
         serve = partial(serve_connection, handler=handler, state=state)
         await trio.serve_listeners(serve, listeners)
 
-    async def _answer_probe(self, _request: HttpRequest, reply: Reply) -> None:
+    async def _answer_probe(
+        self, _request: HttpRequest, reply: ResponseWriter
+    ) -> None:
         await send_ready(reply, ready=self.ready)
 
     async def _answer_metrics(
         self,
         _request: HttpRequest,
-        reply: Reply,
+        reply: ResponseWriter,
     ) -> None:
         await send_metrics(reply, self._metrics)
 
--- a/src/amaranthrail/entry/administration.py
+++ b/src/amaranthrail/entry/administration.py
@@ -11,7 +11,7 @@
 import msgspec
 import trio
 
-from ..adapters.httpserver import HttpRequest, Reply
+from ..adapters.httpserver import HttpRequest, ResponseWriter
 from ..adapters.probes import send_alive, send_metrics, send_ready
 from ..adapters.problem import JSON_TYPE, send_json
 from ..configuration import Configuration
@@ -41,7 +41,7 @@
 _RESOLVE_SUFFIX = '/resolve'
 
 _Order = TypeVar('_Order')
-_Handler = Callable[[HttpRequest, Reply], Awaitable[None]]
+_Handler = Callable[[HttpRequest, ResponseWriter], Awaitable[None]]
 
 
 class _ResolveOrder(msgspec.Struct, forbid_unknown_fields=True):
@@ -84,7 +84,7 @@
             ('POST', '/v1/drain'): self._drain,
         }
 
-    async def handle(self, request: HttpRequest, reply: Reply) -> None:
+    async def handle(self, request: HttpRequest, reply: ResponseWriter) -> None:
         """Answer one request; health and metrics need no token."""
         match request.path:
             case '/healthz':
@@ -96,7 +96,9 @@
             case _:
                 await self._guarded(request, reply)
 
-    async def _guarded(self, request: HttpRequest, reply: Reply) -> None:
+    async def _guarded(
+        self, request: HttpRequest, reply: ResponseWriter
+    ) -> None:
         given = request.header('authorization') or ''
         expected = f'Bearer {self._core.settings.admin_token}'
         if not hmac.compare_digest(given.encode(), expected.encode()):
@@ -112,7 +114,7 @@
             return
         await handler(request, reply)
 
-    async def _metrics(self, reply: Reply) -> None:
+    async def _metrics(self, reply: ResponseWriter) -> None:
         core = self._core
         gauges = {
             'peers_connected': sum(one.connected for one in core.roster.peers),
@@ -129,7 +131,9 @@
             self._runtime.metrics.gauge(name, reading)
         await send_metrics(reply, self._runtime.metrics)
 
-    async def _status(self, _request: HttpRequest, reply: Reply) -> None:
+    async def _status(
+        self, _request: HttpRequest, reply: ResponseWriter
+    ) -> None:
         core = self._core
         configuration = self._runtime.configuration
         ledger = core.shards.ledger
@@ -162,18 +166,22 @@
             },
         )
 
-    async def _timeline(self, _request: HttpRequest, reply: Reply) -> None:
+    async def _timeline(
+        self, _request: HttpRequest, reply: ResponseWriter
+    ) -> None:
         sources = [self._runtime.timeline.events_after(0)]
         async with trio.open_nursery() as nursery:
             for peer in self._core.roster.peers:
                 nursery.start_soon(_gather_events, peer, sources)
         await send_json(reply, _OK, merge_events(sources))
 
-    async def _lost(self, _request: HttpRequest, reply: Reply) -> None:
+    async def _lost(self, _request: HttpRequest, reply: ResponseWriter) -> None:
         lost = [_lost_entry(one) for one in self._core.shards.ledger.lost()]
         await send_json(reply, _OK, lost)
 
-    async def _resolve(self, request: HttpRequest, reply: Reply) -> None:
+    async def _resolve(
+        self, request: HttpRequest, reply: ResponseWriter
+    ) -> None:
         order = _decode_order(request.body, _ResolveOrder)
         states = {'ran': AttemptState.RAN, 'not-run': AttemptState.VOID}
         if order is None or order.outcome not in states:
@@ -196,7 +204,9 @@
         status = _OK if resolved else _ACCEPTED
         await send_json(reply, status, {'key': key, 'recorded': resolved})
 
-    async def _manifest(self, _request: HttpRequest, reply: Reply) -> None:
+    async def _manifest(
+        self, _request: HttpRequest, reply: ResponseWriter
+    ) -> None:
         in_force = self._runtime.configuration.in_force
         if in_force is None:
             await send_json(reply, _NOT_FOUND, {'title': 'no manifest yet'})
@@ -204,7 +214,9 @@
         version = ('x-manifest-version', str(in_force.version))
         await reply.whole(_OK, (JSON_TYPE, version), in_force.text)
 
-    async def _publish(self, request: HttpRequest, reply: Reply) -> None:
+    async def _publish(
+        self, request: HttpRequest, reply: ResponseWriter
+    ) -> None:
         configuration = self._runtime.configuration
         try:
             parse_manifest(request.body)
@@ -237,7 +249,7 @@
         }
         await send_json(reply, _OK if verdict.accepted else _CONFLICT, told)
 
-    async def _drain(self, request: HttpRequest, reply: Reply) -> None:
+    async def _drain(self, request: HttpRequest, reply: ResponseWriter) -> None:
         order = _decode_order(request.body, _DrainOrder)
         if order is None:
             usage = 'give upstream, draining (true or false) and author'
--- a/src/amaranthrail/entry/callers.py
+++ b/src/amaranthrail/entry/callers.py
@@ -5,7 +5,7 @@
 import itertools
 
 from ..adapters.httpclient import HttpResponse
-from ..adapters.httpserver import HttpRequest, Reply
+from ..adapters.httpserver import HttpRequest, ResponseWriter
 from ..adapters.probes import send_ready
 from ..adapters.problem import send_refusal
 from ..outcomes import Reason, Refusal, not_run
@@ -38,7 +38,7 @@
         self._metrics = core.runtime.metrics
         self._labels = itertools.count(1)
 
-    async def handle(self, request: HttpRequest, reply: Reply) -> None:
+    async def handle(self, request: HttpRequest, reply: ResponseWriter) -> None:
         """Answer one request."""
         if request.path in {'/healthz', '/readyz'}:
             ready = request.path == '/healthz' or self._core.ready
@@ -54,7 +54,7 @@
         await self._serve(call, reply)
         self._metrics.latency('request').record(self._clock.now() - began)
 
-    async def _serve(self, call: Call, reply: Reply) -> None:
+    async def _serve(self, call: Call, reply: ResponseWriter) -> None:
         organisation = call.organisation.name
         shares = self._core.shares
         if shares.count(organisation) >= call.organisation.limits.concurrent:
@@ -72,7 +72,7 @@
         finally:
             shares.give_back(organisation, call.size.cost_ms)
 
-    async def _hand_on(self, call: Call, reply: Reply) -> None:
+    async def _hand_on(self, call: Call, reply: ResponseWriter) -> None:
         if call.route.operation.idempotent:
             await forward(self._core, call, reply)
             return
--- a/src/amaranthrail/entry/forward.py
+++ b/src/amaranthrail/entry/forward.py
@@ -4,7 +4,7 @@
 
 from functools import partial
 
-from ..adapters.httpserver import Reply
+from ..adapters.httpserver import ResponseWriter
 from ..adapters.problem import send_refusal
 from ..clock import move_on_after
 from ..frames import ResponseHead
@@ -34,7 +34,7 @@
 )
 
 
-async def forward(core: EntryCore, call: Call, reply: Reply) -> None:
+async def forward(core: EntryCore, call: Call, reply: ResponseWriter) -> None:
     """Answer a caller's idempotent request, trying more than once if needed.
 
     Once bytes have gone to the caller there is no other try: an answer that
@@ -72,7 +72,7 @@
     core: EntryCore,
     call: Call,
     peer: Peer,
-    reply: Reply,
+    reply: ResponseWriter,
 ) -> Refusal | None:
     clock = core.runtime.clock
     target = Target(peer.incarnation or '', core.runtime.configuration.version)
@@ -96,7 +96,7 @@
     peer: Peer,
     exchange: Exchange,
     call: Call,
-    reply: Reply,
+    reply: ResponseWriter,
 ) -> Refusal | None:
     head = await exchange.wait_head()
     if isinstance(head, Refusal):
@@ -127,7 +127,7 @@
     exchange: Exchange,
     head: ResponseHead,
     call: Call,
-    reply: Reply,
+    reply: ResponseWriter,
 ) -> Refusal | None:
     await reply.start(head.status, answer_headers(head.headers, call))
     held = b''
--- a/src/amaranthrail/sidecar/service.py
+++ b/src/amaranthrail/sidecar/service.py
@@ -9,7 +9,7 @@
 from ..adapters.httpclient import HttpClient
 from ..adapters.httpserver import (
     HttpRequest,
-    Reply,
+    ResponseWriter,
     ServerLimits,
     ServerState,
     serve_connection,
@@ -185,7 +185,9 @@
 
         await trio.serve_listeners(serve, listeners)
 
-    async def _administer(self, request: HttpRequest, reply: Reply) -> None:
+    async def _administer(
+        self, request: HttpRequest, reply: ResponseWriter
+    ) -> None:
         match request.path:
             case '/healthz':
                 await send_alive(reply)
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -16,7 +16,7 @@
 import msgspec
 import trio
 
-from amaranthrail.adapters.httpserver import HttpRequest, Reply
+from amaranthrail.adapters.httpserver import HttpRequest, ResponseWriter
 
 from .faults import Faults, send_cut
 from .serving import JSON, send_json, serve
@@ -77,7 +77,7 @@
         self._hits = 0
         self._load = {'running': 0, 'waiting': 0}
 
-    async def handle(self, request: HttpRequest, reply: Reply) -> None:
+    async def handle(self, request: HttpRequest, reply: ResponseWriter) -> None:
         """Answer one request."""
         if request.path == '/load':
             await send_json(reply, self._load)
@@ -116,7 +116,9 @@
         while self._waiting and len(self._batch) < self._slots:
             self._batch.append(self._waiting.pop(0))
 
-    async def _complete(self, request: HttpRequest, reply: Reply) -> None:
+    async def _complete(
+        self, request: HttpRequest, reply: ResponseWriter
+    ) -> None:
         try:
             order = msgspec.json.decode(request.body)
             text = order.get('prompt', '') or _prompt_of(order)
@@ -174,7 +176,7 @@
         sequence: Sequence,
         text: str,
         tokens: int,
-        reply: Reply,
+        reply: ResponseWriter,
     ) -> None:
         await self._faults.wait_heard()
         await reply.start(200, _STREAM)
@@ -203,7 +205,7 @@
         sequence: Sequence,
         text: str,
         tokens: int,
-        reply: Reply,
+        reply: ResponseWriter,
     ) -> None:
         while sequence.tokens_left:
             await sequence.advanced.wait()
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from amaranthrail.adapters.httpserver import HttpRequest, Reply
+from amaranthrail.adapters.httpserver import HttpRequest, ResponseWriter
 
 from .serving import read_json, send_json
 
@@ -51,7 +51,9 @@
         while self.silent:
             await self.changed.wait()
 
-    async def control(self, request: HttpRequest, reply: Reply) -> None:
+    async def control(
+        self, request: HttpRequest, reply: ResponseWriter
+    ) -> None:
         """Serve ``/control/runs`` and ``/control/faults``."""
         if request.path == '/control/runs':
             await send_json(reply, self.runs)
@@ -67,7 +69,7 @@
 
 
 async def send_cut(
-    reply: Reply,
+    reply: ResponseWriter,
     faults: Faults,
     headers: tuple[tuple[str, str], ...],
     body: bytes,
--- a/standins/group.py
+++ b/standins/group.py
@@ -18,7 +18,7 @@
 import msgspec
 import trio
 
-from amaranthrail.adapters.httpserver import HttpRequest, Reply
+from amaranthrail.adapters.httpserver import HttpRequest, ResponseWriter
 
 from .serving import read_json, run_until_told, send_json, serve_address
 
@@ -137,7 +137,7 @@
         self,
         number: int,
         request: HttpRequest,
-        reply: Reply,
+        reply: ResponseWriter,
     ) -> None:
         """Answer a request to one rank."""
         rank = self._ranks[number]
@@ -196,7 +196,7 @@
         self,
         rank: RankEngine,
         request: HttpRequest,
-        reply: Reply,
+        reply: ResponseWriter,
     ) -> None:
         match request.path:
             case '/control/steps':
--- a/standins/keyedlog.py
+++ b/standins/keyedlog.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from amaranthrail.adapters.httpserver import HttpRequest, Reply
+from amaranthrail.adapters.httpserver import HttpRequest, ResponseWriter
 from amaranthrail.adapters.problem import send_json
 
 _OFFSETS = struct.Struct('>QQ')
@@ -72,7 +72,7 @@
         """Return a topic, made at its first use."""
         return self._topics.setdefault(name, Topic())
 
-    async def handle(self, request: HttpRequest, reply: Reply) -> None:
+    async def handle(self, request: HttpRequest, reply: ResponseWriter) -> None:
         """Answer one call."""
         self.calls += 1
         if self.fault is StoreFault.SILENT:
@@ -86,7 +86,9 @@
         else:
             await self._answer(request, reply)
 
-    async def _answer(self, request: HttpRequest, reply: Reply) -> None:
+    async def _answer(
+        self, request: HttpRequest, reply: ResponseWriter
+    ) -> None:
         call = request.path.rpartition('/')[2]
         topic = self.topic(request.query['topic'])
         if call == 'log-newest':
@@ -96,7 +98,7 @@
         else:
             await self._read(topic, request.query, reply)
 
-    async def _newest(self, topic: Topic, reply: Reply) -> None:
+    async def _newest(self, topic: Topic, reply: ResponseWriter) -> None:
         listed = [
             {'key': key, 'value': base64.b64encode(payload).decode()}
             for key, payload in topic.newest.items()
@@ -104,7 +106,9 @@
         page = {'items': listed, 'has_more': False, 'end_offset': topic.end}
         await send_json(reply, _HTTP_OK, page)
 
-    async def _append(self, topic: Topic, body: bytes, reply: Reply) -> None:
+    async def _append(
+        self, topic: Topic, body: bytes, reply: ResponseWriter
+    ) -> None:
         record = body[_LENGTH.size :]
         key_end = 1 + record[0]
         topic.put(record[1:key_end].decode(), record[key_end:])
@@ -114,7 +118,7 @@
         self,
         topic: Topic,
         query: dict[str, str],
-        reply: Reply,
+        reply: ResponseWriter,
     ) -> None:
         offset = int(query['from'])
         if offset < topic.first:
--- a/standins/plain.py
+++ b/standins/plain.py
@@ -12,7 +12,7 @@
 import msgspec
 import trio
 
-from amaranthrail.adapters.httpserver import HttpRequest, Reply
+from amaranthrail.adapters.httpserver import HttpRequest, ResponseWriter
 
 from .faults import Faults, send_cut
 from .serving import JSON, serve
@@ -28,7 +28,7 @@
         self._name = name
         self._faults = Faults()
 
-    async def handle(self, request: HttpRequest, reply: Reply) -> None:
+    async def handle(self, request: HttpRequest, reply: ResponseWriter) -> None:
         """Answer one request."""
         if request.path.startswith('/control/'):
             await self._faults.control(request, reply)
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -16,7 +16,7 @@
 
 import trio
 
-from amaranthrail.adapters.httpserver import HttpRequest, Reply
+from amaranthrail.adapters.httpserver import HttpRequest, ResponseWriter
 
 from .serving import read_json, send_json, serve
 
@@ -82,7 +82,7 @@
         self._weights_per_s = 100.0
         self._weights_next = 0.0
 
-    async def handle(self, request: HttpRequest, reply: Reply) -> None:
+    async def handle(self, request: HttpRequest, reply: ResponseWriter) -> None:
         """Answer one request."""
         part = request.path.split('/')[1]
         match part:
@@ -108,7 +108,7 @@
         name = request.path.split('/')[2]
         return self._streams.setdefault(name, Stream())
 
-    async def _log(self, request: HttpRequest, reply: Reply) -> None:
+    async def _log(self, request: HttpRequest, reply: ResponseWriter) -> None:
         # A handler that returns without an answer closes the connection.
         if self._fault is LogFault.DOWN:
             return
@@ -127,7 +127,7 @@
         self,
         stream: Stream,
         request: HttpRequest,
-        reply: Reply,
+        reply: ResponseWriter,
     ) -> None:
         after = int(request.query.get('after', '0'))
         wait_ms = int(request.query.get('wait_ms', '0'))
@@ -156,7 +156,7 @@
         visible = [hosts for since, hosts in self._hosts if since <= seen_until]
         return visible[-1] if visible else []
 
-    async def _weights(self, reply: Reply) -> None:
+    async def _weights(self, reply: ResponseWriter) -> None:
         """Send one expert's weights, no faster than the store's rate."""
         now = trio.current_time()
         self._weights_next = max(now, self._weights_next)
@@ -164,7 +164,9 @@
         await trio.sleep_until(self._weights_next)
         await reply.whole(200, (), bytes(1024))
 
-    async def _control(self, request: HttpRequest, reply: Reply) -> None:
+    async def _control(
+        self, request: HttpRequest, reply: ResponseWriter
+    ) -> None:
         match request.path:
             case '/control/faults':
                 self._set_faults(read_json(request))
--- a/standins/replica.py
+++ b/standins/replica.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from amaranthrail.adapters.httpserver import HttpRequest, Reply
+from amaranthrail.adapters.httpserver import HttpRequest, ResponseWriter
 from amaranthrail.adapters.problem import send_json
 
 _HTTP_OK = 200
@@ -45,7 +45,7 @@
     pause_s: float = 0
     note_run: Callable[[str, HttpRequest], None] | None = None
 
-    async def handle(self, request: HttpRequest, reply: Reply) -> None:
+    async def handle(self, request: HttpRequest, reply: ResponseWriter) -> None:
         """Answer one call."""
         if request.header('expect-replica') != self.name:
             self.refused += 1
@@ -75,7 +75,7 @@
             headers.append(('content-encoding', 'gzip'))
         return tuple(headers)
 
-    async def _run(self, request: HttpRequest, reply: Reply) -> None:
+    async def _run(self, request: HttpRequest, reply: ResponseWriter) -> None:
         if self.behaviour is Behaviour.MUTE:
             await trio.sleep_forever()
         await trio.sleep(self.pause_s)
@@ -90,7 +90,9 @@
             body = f'{self.name} did {request.target}'.encode()
             await reply.whole(_HTTP_OK, self._headers(request), body)
 
-    async def _stream(self, request: HttpRequest, reply: Reply) -> None:
+    async def _stream(
+        self, request: HttpRequest, reply: ResponseWriter
+    ) -> None:
         first = int(request.header('last-event-id') or '0') + 1
         kind = ('content-type', 'text/event-stream')
         await reply.start(_HTTP_OK, (kind, *self._headers(request)))
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -13,7 +13,7 @@
 from amaranthrail.adapters.httpserver import (
     Handler,
     HttpRequest,
-    Reply,
+    ResponseWriter,
     ServerLimits,
     ServerState,
     serve_connection,
@@ -23,7 +23,9 @@
 JSON = (('content-type', 'application/json'),)
 
 
-async def send_json(reply: Reply, content: object, status: int = 200) -> None:
+async def send_json(
+    reply: ResponseWriter, content: object, status: int = 200
+) -> None:
     """Send any JSON-able content."""
     await reply.whole(status, JSON, msgspec.json.encode(content))
 
--- a/tests/test_slow_senders.py
+++ b/tests/test_slow_senders.py
@@ -11,7 +11,7 @@
     BODY_TIMEOUT_MS,
     IDLE_TIMEOUT_MS,
     HttpRequest,
-    Reply,
+    ResponseWriter,
     ServerLimits,
     ServerState,
     serve_connection,
@@ -70,7 +70,7 @@
     """Return what was answered, after how long, and the requests handled."""
     handled = []
 
-    async def handle(request: HttpRequest, reply: Reply) -> None:
+    async def handle(request: HttpRequest, reply: ResponseWriter) -> None:
         handled.append(request)
         await reply.whole(200, (), b'')
 
