--- a/src/amaranthrail/adapters/httpserver.py
+++ b/src/amaranthrail/adapters/httpserver.py
@@ -95,7 +95,7 @@
         """Tell whether the whole answer has been sent."""
         return self._finished
 
-    async def whole(
+    async def send(
         self,
         status: int,
         headers: HeaderList,
@@ -383,4 +383,4 @@
         ('x-outcome', 'not-run'),
         ('connection', 'close'),
     )
-    await ResponseWriter(connection).whole(status, headers, body % status)
+    await ResponseWriter(connection).send(status, headers, body % status)
--- a/src/amaranthrail/adapters/probes.py
+++ b/src/amaranthrail/adapters/probes.py
@@ -37,4 +37,4 @@
         '..exposition',
         __package__,
     )
-    await reply.whole(_OK, (_METRICS_TYPE,), exposition.metrics_text(metrics))
+    await reply.send(_OK, (_METRICS_TYPE,), exposition.metrics_text(metrics))
--- a/src/amaranthrail/adapters/problem.py
+++ b/src/amaranthrail/adapters/problem.py
@@ -50,7 +50,7 @@
     if refusal.retry_after_ms is not None and not is_stated:
         seconds = math.ceil(refusal.retry_after_ms / MS_PER_SECOND)
         fields.append(('retry-after', str(seconds)))
-    await reply.whole(
+    await reply.send(
         refusal.status,
         (*fields, *headers),
         msgspec.json.encode(problem),
@@ -61,4 +61,4 @@
     reply: ResponseWriter, status: int, content: object
 ) -> None:
     """Send any JSON-able content."""
-    await reply.whole(status, (JSON_TYPE,), msgspec.json.encode(content))
+    await reply.send(status, (JSON_TYPE,), msgspec.json.encode(content))
--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -105,7 +105,7 @@
             outcome = _expired(call)
         self._journal.ended(call, outcome, relay.events, relay.pace)
         if isinstance(outcome, BufferedResponse):
-            await reply.whole(outcome.status, outcome.headers, outcome.body)
+            await reply.send(outcome.status, outcome.headers, outcome.body)
         elif isinstance(outcome, Refusal) and not reply.started:
             await send_refusal(reply, outcome, self._refusal_headers(outcome))
 
--- a/src/amaranthrail/entry/administration.py
+++ b/src/amaranthrail/entry/administration.py
@@ -212,7 +212,7 @@
             await send_json(reply, _NOT_FOUND, {'title': 'no manifest yet'})
             return
         version = ('x-manifest-version', str(in_force.version))
-        await reply.whole(_OK, (JSON_TYPE, version), in_force.text)
+        await reply.send(_OK, (JSON_TYPE, version), in_force.text)
 
     async def _publish(
         self, request: HttpRequest, reply: ResponseWriter
--- a/src/amaranthrail/entry/callers.py
+++ b/src/amaranthrail/entry/callers.py
@@ -79,7 +79,7 @@
         answer = await self._filings.file(call)
         if isinstance(answer, HttpResponse):
             headers = answer_headers(answer.headers, call)
-            await reply.whole(answer.status, headers, answer.body)
+            await reply.send(answer.status, headers, answer.body)
             return
         self._count(answer)
         await send_refusal(reply, answer, (('x-request-id', call.label),))
--- a/src/amaranthrail/entry/forward.py
+++ b/src/amaranthrail/entry/forward.py
@@ -106,7 +106,7 @@
     body = await _gather(peer, exchange)
     if isinstance(body, Refusal):
         return body
-    await reply.whole(head.status, answer_headers(head.headers, call), body)
+    await reply.send(head.status, answer_headers(head.headers, call), body)
     return None
 
 
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -77,7 +77,7 @@
     """Send an answer, or only its first bytes where that fault is set."""
     await faults.wait_heard()
     if faults.cut_after_bytes is None:
-        await reply.whole(200, headers, body)
+        await reply.send(200, headers, body)
         return
     length = ('content-length', str(len(body)))
     await reply.start(200, (*headers, length))
--- a/standins/keyedlog.py
+++ b/standins/keyedlog.py
@@ -82,7 +82,7 @@
         elif self.fault is StoreFault.BUSY:
             await send_json(reply, _HTTP_TOO_MANY, {})
         elif self.fault is StoreFault.MALFORMED:
-            await reply.whole(_HTTP_OK, (), b'\xff')
+            await reply.send(_HTTP_OK, (), b'\xff')
         else:
             await self._answer(request, reply)
 
@@ -132,4 +132,4 @@
             name = key.encode()
             record = b''.join((bytes((len(name),)), name, payload))
             body += _LENGTH.pack(len(record)) + record
-        await reply.whole(_HTTP_OK, (), body)
+        await reply.send(_HTTP_OK, (), body)
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -162,7 +162,7 @@
         self._weights_next = max(now, self._weights_next)
         self._weights_next += 1 / self._weights_per_s
         await trio.sleep_until(self._weights_next)
-        await reply.whole(200, (), bytes(1024))
+        await reply.send(200, (), bytes(1024))
 
     async def _control(
         self, request: HttpRequest, reply: ResponseWriter
--- a/standins/replica.py
+++ b/standins/replica.py
@@ -53,7 +53,7 @@
             return
         if self.behaviour is Behaviour.SHEDDING:
             self.refused += 1
-            await reply.whole(_HTTP_UNAVAILABLE, (('not-executed', '1'),), b'')
+            await reply.send(_HTTP_UNAVAILABLE, (('not-executed', '1'),), b'')
             return
         self.ran.append(request)
         if self.note_run is not None:
@@ -80,7 +80,7 @@
             await trio.sleep_forever()
         await trio.sleep(self.pause_s)
         if self.behaviour is Behaviour.FAILING:
-            await reply.whole(_HTTP_FAILED, self._headers(request), b'failed')
+            await reply.send(_HTTP_FAILED, self._headers(request), b'failed')
         elif request.path.startswith('/stream/'):
             await self._stream(request, reply)
         elif self.behaviour is Behaviour.CUTTING:
@@ -88,7 +88,7 @@
             await reply.part(b'half of an ans')
         else:
             body = f'{self.name} did {request.target}'.encode()
-            await reply.whole(_HTTP_OK, self._headers(request), body)
+            await reply.send(_HTTP_OK, self._headers(request), body)
 
     async def _stream(
         self, request: HttpRequest, reply: ResponseWriter
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -27,7 +27,7 @@
     reply: ResponseWriter, content: object, status: int = 200
 ) -> None:
     """Send any JSON-able content."""
-    await reply.whole(status, JSON, msgspec.json.encode(content))
+    await reply.send(status, JSON, msgspec.json.encode(content))
 
 
 def read_json(request: HttpRequest) -> dict[str, object]:
--- a/tests/test_slow_senders.py
+++ b/tests/test_slow_senders.py
@@ -72,7 +72,7 @@
 
     async def handle(request: HttpRequest, reply: ResponseWriter) -> None:
         handled.append(request)
-        await reply.whole(200, (), b'')
+        await reply.send(200, (), b'')
 
     ours, theirs = memory_stream_pair()
     answer = b''
