--- a/src/amaranthrail/adapters/httpserver.py
+++ b/src/amaranthrail/adapters/httpserver.py
@@ -114,7 +114,7 @@
         """Send the head of a chunked answer."""
         await self._connection.send(self._head(status, headers))
 
-    async def part(self, payload: bytes) -> None:
+    async def send_chunk(self, payload: bytes) -> None:
         """Send one chunk of the body."""
         await self._connection.send(h11.Data(data=payload))
 
--- a/src/amaranthrail/direct/relay.py
+++ b/src/amaranthrail/direct/relay.py
@@ -111,4 +111,4 @@
             self._engines.note(gap_ms / (self._splitter.events - known))
         if not self._reply.started:
             await self._reply.start(status, headers)
-        await self._reply.part(events)
+        await self._reply.send_chunk(events)
--- a/src/amaranthrail/entry/forward.py
+++ b/src/amaranthrail/entry/forward.py
@@ -139,10 +139,10 @@
             break
         ready, held = _hold_last_event(held + part)
         if ready:
-            await reply.part(ready)
+            await reply.send_chunk(ready)
         peer.acknowledge(exchange)
     if held:
-        await reply.part(held)
+        await reply.send_chunk(held)
     await reply.finish()
     return None
 
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -193,11 +193,11 @@
             await self._faults.wait_heard()
             bound = self._faults.cut_after_bytes
             if bound is not None and sent + len(event) > bound:
-                await reply.part(event[: bound - sent] or b' ')
+                await reply.send_chunk(event[: bound - sent] or b' ')
                 return
-            await reply.part(event)
+            await reply.send_chunk(event)
             sent += len(event)
-        await reply.part(b'data: [DONE]\n\n')
+        await reply.send_chunk(b'data: [DONE]\n\n')
         await reply.finish()
 
     async def _whole(
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -81,4 +81,4 @@
         return
     length = ('content-length', str(len(body)))
     await reply.start(200, (*headers, length))
-    await reply.part(body[: faults.cut_after_bytes])
+    await reply.send_chunk(body[: faults.cut_after_bytes])
--- a/standins/replica.py
+++ b/standins/replica.py
@@ -85,7 +85,7 @@
             await self._stream(request, reply)
         elif self.behaviour is Behaviour.CUTTING:
             await reply.start(_HTTP_OK, self._headers(request))
-            await reply.part(b'half of an ans')
+            await reply.send_chunk(b'half of an ans')
         else:
             body = f'{self.name} did {request.target}'.encode()
             await reply.send(_HTTP_OK, self._headers(request), body)
@@ -103,10 +103,12 @@
             }
             if cuts and number == first + 2:
                 if self.behaviour is Behaviour.CUTTING_IN_EVENT:
-                    await reply.part(f'id: {number}\ndata: of it o'.encode())
+                    await reply.send_chunk(
+                        f'id: {number}\ndata: of it o'.encode()
+                    )
                 return
             if self.behaviour is Behaviour.STOPPING and number == first + 2:
                 await trio.sleep_forever()
-            await reply.part(f'id: {number}\ndata: {number}\n\n'.encode())
+            await reply.send_chunk(f'id: {number}\ndata: {number}\n\n'.encode())
             await trio.sleep(self.pause_s)
         await reply.finish()
