--- a/bench/load.py
+++ b/bench/load.py
@@ -143,7 +143,7 @@
             hit.status = exchange.status
             fields = dict(exchange.headers)
             hit.retry_after_s = float(fields.get('retry-after', 0))
-            async with aclosing(exchange.parts()) as parts:
+            async with aclosing(exchange.body_chunks()) as parts:
                 async for part in parts:
                     now = trio.current_time()
                     if hit.first_s:
--- a/src/amaranthrail/adapters/httpclient.py
+++ b/src/amaranthrail/adapters/httpclient.py
@@ -114,7 +114,7 @@
             for name, text in head.headers
         )
 
-    async def parts(self) -> AsyncGenerator[bytes, None]:
+    async def body_chunks(self) -> AsyncGenerator[bytes, None]:
         """Yield the body as it arrives; raises HttpError when it is cut."""
         while True:
             event = await self._next_event()
@@ -214,7 +214,7 @@
             body,
             fresh=fresh,
         ) as exchange:
-            async with aclosing(exchange.parts()) as parts:
+            async with aclosing(exchange.body_chunks()) as parts:
                 chunks = [part async for part in parts]
             return HttpResponse(
                 exchange.status,
--- a/src/amaranthrail/direct/attempt.py
+++ b/src/amaranthrail/direct/attempt.py
@@ -98,7 +98,7 @@
             )
             self._note(upstream, failed=failure is not None)
             return failure
-        async with aclosing(exchange.parts()) as parts:
+        async with aclosing(exchange.body_chunks()) as parts:
             chunks = [part async for part in parts]
         self._note(upstream, failed=exchange.status >= _FIRST_SERVER_ERROR)
         return BufferedResponse(exchange.status, headers, b''.join(chunks))
--- a/src/amaranthrail/direct/relay.py
+++ b/src/amaranthrail/direct/relay.py
@@ -72,7 +72,7 @@
     ) -> Failure | None:
         """Pass on a stream to its end; return why it was cut, if it was."""
         try:
-            async with aclosing(exchange.parts()) as parts:
+            async with aclosing(exchange.body_chunks()) as parts:
                 part = await self._next(parts)
                 while part is not None:
                     note_heard()
--- a/src/amaranthrail/sidecar/worker.py
+++ b/src/amaranthrail/sidecar/worker.py
@@ -118,7 +118,7 @@
                 await self._relay_body(run, exchange)
 
     async def _relay_body(self, run: Run, exchange: HttpExchange) -> None:
-        async with aclosing(exchange.parts()) as parts:
+        async with aclosing(exchange.body_chunks()) as parts:
             async for part in parts:
                 run.add(part)
                 if run.dispatch.intent and run.length > MAX_KEYED_BYTES:
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -121,7 +121,7 @@
         payload = json.dumps(order).encode()
         async with (
             client.exchange('POST', PATH, headers, payload) as exchange,
-            aclosing(exchange.parts()) as parts,
+            aclosing(exchange.body_chunks()) as parts,
         ):
             async for part in parts:
                 # Leaving begins with the first part and may be told again.
