--- a/src/amaranthrail/adapters/listen.py
+++ b/src/amaranthrail/adapters/listen.py
@@ -30,7 +30,7 @@
         ) from error
 
 
-def secured(
+def handler_with_tls(
     handler: StreamHandler,
     tls: ssl.SSLContext | None,
 ) -> StreamHandler:
--- a/src/amaranthrail/entry/service.py
+++ b/src/amaranthrail/entry/service.py
@@ -8,7 +8,7 @@
 import trio
 
 from ..adapters.httpserver import ServerLimits, ServerState, serve_connection
-from ..adapters.listen import open_listeners, secured
+from ..adapters.listen import handler_with_tls, open_listeners
 from ..adapters.platform import HttpHostList, HttpLog
 from ..clock import sleep
 from ..consumer import StreamConsumer
@@ -127,7 +127,7 @@
         async def serve(stream: trio.abc.Stream) -> None:
             await serve_connection(stream, callers.handle, state)
 
-        handler = secured(serve, self._caller_tls())
+        handler = handler_with_tls(serve, self._caller_tls())
         async with trio.open_nursery() as connections:
             async with trio.open_nursery() as accepting:
                 accepting.start_soon(
--- a/src/amaranthrail/sidecar/service.py
+++ b/src/amaranthrail/sidecar/service.py
@@ -15,7 +15,7 @@
     serve_connection,
 )
 from ..adapters.link import Link
-from ..adapters.listen import open_listeners, secured
+from ..adapters.listen import handler_with_tls, open_listeners
 from ..adapters.platform import HttpHostList
 from ..adapters.probes import send_alive, send_metrics, send_ready
 from ..adapters.problem import send_json
@@ -159,7 +159,9 @@
             async with stream:
                 await self._serve_peer(stream, office)
 
-        await trio.serve_listeners(secured(serve, self._tls()), listeners)
+        await trio.serve_listeners(
+            handler_with_tls(serve, self._tls()), listeners
+        )
 
     async def _serve_peer(
         self,
