--- a/src/amaranthrail/adapters/probes.py
+++ b/src/amaranthrail/adapters/probes.py
@@ -15,7 +15,7 @@
 _METRICS_TYPE = ('content-type', 'text/plain; version=0.0.4')
 
 
-async def send_alive(reply: ResponseWriter) -> None:
+async def send_liveness(reply: ResponseWriter) -> None:
     """Say that the process answers."""
     await send_json(reply, _OK, {'alive': True})
 
--- a/src/amaranthrail/entry/administration.py
+++ b/src/amaranthrail/entry/administration.py
@@ -12,7 +12,7 @@
 import trio
 
 from ..adapters.httpserver import HttpRequest, ResponseWriter
-from ..adapters.probes import send_alive, send_metrics, send_ready
+from ..adapters.probes import send_liveness, send_metrics, send_ready
 from ..adapters.problem import JSON_TYPE, send_json
 from ..configuration import Configuration
 from ..consumer import StreamConsumer
@@ -88,7 +88,7 @@
         """Answer one request; health and metrics need no token."""
         match request.path:
             case '/healthz':
-                await send_alive(reply)
+                await send_liveness(reply)
             case '/readyz':
                 await send_ready(reply, ready=self._core.ready)
             case '/metrics':
--- a/src/amaranthrail/sidecar/service.py
+++ b/src/amaranthrail/sidecar/service.py
@@ -17,7 +17,7 @@
 from ..adapters.link import Link
 from ..adapters.listen import handler_with_tls, open_listeners
 from ..adapters.platform import HttpHostList
-from ..adapters.probes import send_alive, send_metrics, send_ready
+from ..adapters.probes import send_liveness, send_metrics, send_ready
 from ..adapters.problem import send_json
 from ..adapters.rankengine import HttpRankEngine, HttpWeightStore
 from ..clock import move_on_after, sleep
@@ -192,7 +192,7 @@
     ) -> None:
         match request.path:
             case '/healthz':
-                await send_alive(reply)
+                await send_liveness(reply)
             case '/readyz':
                 await send_ready(reply, ready=not self._gate.leaving)
             case '/metrics':
