--- a/src/amaranthrail/adapters/probes.py
+++ b/src/amaranthrail/adapters/probes.py
@@ -20,7 +20,7 @@
     await send_json(reply, _OK, {'alive': True})
 
 
-async def send_ready(reply: ResponseWriter, *, ready: bool) -> None:
+async def send_readiness(reply: ResponseWriter, *, ready: bool) -> None:
     """Say by the status whether the process takes new work."""
     status = _OK if ready else _UNAVAILABLE
     await send_json(reply, status, {'ready': ready})
--- a/src/amaranthrail/direct/service.py
+++ b/src/amaranthrail/direct/service.py
@@ -16,7 +16,7 @@
     serve_connection,
 )
 from ..adapters.listen import open_listeners
-from ..adapters.probes import send_metrics, send_ready
+from ..adapters.probes import send_metrics, send_readiness
 from ..clock import Clock, move_on_after, sleep
 from ..logs import part_logger
 from ..metrics import Metrics
@@ -226,7 +226,7 @@
     async def _answer_probe(
         self, _request: HttpRequest, reply: ResponseWriter
     ) -> None:
-        await send_ready(reply, ready=self.ready)
+        await send_readiness(reply, ready=self.ready)
 
     async def _answer_metrics(
         self,
--- a/src/amaranthrail/entry/administration.py
+++ b/src/amaranthrail/entry/administration.py
@@ -12,7 +12,7 @@
 import trio
 
 from ..adapters.httpserver import HttpRequest, ResponseWriter
-from ..adapters.probes import send_liveness, send_metrics, send_ready
+from ..adapters.probes import send_liveness, send_metrics, send_readiness
 from ..adapters.problem import JSON_TYPE, send_json
 from ..configuration import Configuration
 from ..consumer import StreamConsumer
@@ -90,7 +90,7 @@
             case '/healthz':
                 await send_liveness(reply)
             case '/readyz':
-                await send_ready(reply, ready=self._core.ready)
+                await send_readiness(reply, ready=self._core.ready)
             case '/metrics':
                 await self._metrics(reply)
             case _:
--- a/src/amaranthrail/entry/callers.py
+++ b/src/amaranthrail/entry/callers.py
@@ -6,7 +6,7 @@
 
 from ..adapters.httpclient import HttpResponse
 from ..adapters.httpserver import HttpRequest, ResponseWriter
-from ..adapters.probes import send_ready
+from ..adapters.probes import send_readiness
 from ..adapters.problem import send_refusal
 from ..outcomes import Reason, Refusal, not_run
 from ..policy.sizes import (
@@ -42,7 +42,7 @@
         """Answer one request."""
         if request.path in {'/healthz', '/readyz'}:
             ready = request.path == '/healthz' or self._core.ready
-            await send_ready(reply, ready=ready)
+            await send_readiness(reply, ready=ready)
             return
         began = self._clock.now()
         label = f'{self._core.runtime.incarnation}-r{next(self._labels)}'
--- a/src/amaranthrail/sidecar/service.py
+++ b/src/amaranthrail/sidecar/service.py
@@ -17,7 +17,7 @@
 from ..adapters.link import Link
 from ..adapters.listen import handler_with_tls, open_listeners
 from ..adapters.platform import HttpHostList
-from ..adapters.probes import send_liveness, send_metrics, send_ready
+from ..adapters.probes import send_liveness, send_metrics, send_readiness
 from ..adapters.problem import send_json
 from ..adapters.rankengine import HttpRankEngine, HttpWeightStore
 from ..clock import move_on_after, sleep
@@ -194,7 +194,7 @@
             case '/healthz':
                 await send_liveness(reply)
             case '/readyz':
-                await send_ready(reply, ready=not self._gate.leaving)
+                await send_readiness(reply, ready=not self._gate.leaving)
             case '/metrics':
                 self._gauge()
                 await send_metrics(reply, self._runtime.metrics)
