--- a/src/amaranthrail/adapters/link.py
+++ b/src/amaranthrail/adapters/link.py
@@ -111,7 +111,7 @@
     return hmac.digest(peer_key, role + nonce, 'sha256')
 
 
-async def greet(
+async def client_handshake(
     link: Link,
     peer_key: bytes,
     hello: Hello,
--- a/src/amaranthrail/entry/peers.py
+++ b/src/amaranthrail/entry/peers.py
@@ -16,7 +16,7 @@
     HANDSHAKE_TIMEOUT_S,
     Link,
     LinkClosedError,
-    greet,
+    client_handshake,
 )
 from ..clock import move_on_after, sleep
 from ..configsync import (
@@ -265,7 +265,7 @@
         established = False
         try:
             with trio.fail_after(HANDSHAKE_TIMEOUT_S):
-                welcome = await greet(
+                welcome = await client_handshake(
                     link,
                     self._access.settings.peer_key.encode(),
                     self._hello(),
--- a/src/amaranthrail/sidecar/ranklink.py
+++ b/src/amaranthrail/sidecar/ranklink.py
@@ -11,7 +11,12 @@
 
 from ..adapters.dial import dial
 from ..adapters.httpclient import Address
-from ..adapters.link import HANDSHAKE_TIMEOUT_S, Link, LinkClosedError, greet
+from ..adapters.link import (
+    HANDSHAKE_TIMEOUT_S,
+    Link,
+    LinkClosedError,
+    client_handshake,
+)
 from ..clock import move_on_after, sleep
 from ..configsync import exchange_frames, handle_config_frame
 from ..exceptions import FrameError
@@ -100,7 +105,9 @@
             next(_connection_numbers),
         )
         with trio.fail_after(HANDSHAKE_TIMEOUT_S):
-            await greet(link, self._settings.peer_key.encode(), hello)
+            await client_handshake(
+                link, self._settings.peer_key.encode(), hello
+            )
         self._link = link
         await exchange_frames(
             link,
