--- a/src/amaranthrail/adapters/link.py
+++ b/src/amaranthrail/adapters/link.py
@@ -145,7 +145,9 @@
     return welcome
 
 
-async def admit(link: Link, peer_key: bytes, welcome: Welcome) -> Hello:
+async def server_handshake(
+    link: Link, peer_key: bytes, welcome: Welcome
+) -> Hello:
     """Accept a connecting peer: have the key proved, then prove it.
 
     ``welcome`` is sent with its proof filled in. Raises FrameError where the
--- a/src/amaranthrail/sidecar/peers.py
+++ b/src/amaranthrail/sidecar/peers.py
@@ -7,7 +7,12 @@
 
 import trio
 
-from ..adapters.link import HANDSHAKE_TIMEOUT_S, Link, LinkClosedError, admit
+from ..adapters.link import (
+    HANDSHAKE_TIMEOUT_S,
+    Link,
+    LinkClosedError,
+    server_handshake,
+)
 from ..clock import sleep
 from ..configsync import handle_config_frame
 from ..exceptions import FrameError
@@ -130,7 +135,9 @@
             settings.upstream,
             settings.domain,
         )
-        return await admit(self._link, settings.peer_key.encode(), welcome)
+        return await server_handshake(
+            self._link, settings.peer_key.encode(), welcome
+        )
 
     async def _exchange_frames(self) -> None:
         link = self._link
