--- a/src/amaranthrail/adapters/link.py
+++ b/src/amaranthrail/adapters/link.py
@@ -106,7 +106,7 @@
             await sleep(left_ms)
 
 
-def prove(peer_key: bytes, nonce: bytes, role: bytes) -> bytes:
+def handshake_proof(peer_key: bytes, nonce: bytes, role: bytes) -> bytes:
     """Return the proof that its maker knows the peer key."""
     return hmac.digest(peer_key, role + nonce, 'sha256')
 
@@ -127,7 +127,7 @@
     nonce = secrets.token_bytes(_NONCE_BYTES)
     link.post(
         Hello(
-            prove(peer_key, challenge.nonce, b'hello'),
+            handshake_proof(peer_key, challenge.nonce, b'hello'),
             nonce,
             hello.process,
             hello.incarnation,
@@ -138,7 +138,7 @@
     welcome = await link.receive()
     if not isinstance(welcome, Welcome):
         raise FrameError('peer did not answer with a welcome')
-    expected = prove(peer_key, nonce, b'welcome')
+    expected = handshake_proof(peer_key, nonce, b'welcome')
     if not hmac.compare_digest(welcome.proof, expected):
         raise FrameError('peer does not know the peer key')
     link.trust()
@@ -159,12 +159,12 @@
     hello = await link.receive()
     if not isinstance(hello, Hello):
         raise FrameError('peer did not answer with a hello')
-    expected = prove(peer_key, nonce, b'hello')
+    expected = handshake_proof(peer_key, nonce, b'hello')
     if not hmac.compare_digest(hello.proof, expected):
         raise FrameError('peer does not know the peer key')
     link.post(
         Welcome(
-            prove(peer_key, hello.nonce, b'welcome'),
+            handshake_proof(peer_key, hello.nonce, b'welcome'),
             welcome.process,
             welcome.incarnation,
             welcome.service,
