--- a/src/amaranthrail/adapters/link.py
+++ b/src/amaranthrail/adapters/link.py
@@ -54,7 +54,7 @@
         """Return for how long nothing has been received."""
         return Millis(self._clock.now() - self._heard_at)
 
-    def trust(self) -> None:
+    def allow_full_frames(self) -> None:
         """Accept frames of full size from now on."""
         self._decoder = FrameDecoder()
 
@@ -141,7 +141,7 @@
     expected = handshake_proof(peer_key, nonce, b'welcome')
     if not hmac.compare_digest(welcome.proof, expected):
         raise FrameError('peer does not know the peer key')
-    link.trust()
+    link.allow_full_frames()
     return welcome
 
 
@@ -172,5 +172,5 @@
             welcome.domain,
         ),
     )
-    link.trust()
+    link.allow_full_frames()
     return hello
