--- a/src/amaranthrail/adapters/link.py
+++ b/src/amaranthrail/adapters/link.py
@@ -58,7 +58,7 @@
         """Accept frames of full size from now on."""
         self._decoder = FrameDecoder()
 
-    def post(self, frame: Frame) -> None:
+    def enqueue(self, frame: Frame) -> None:
         """Queue a frame for the writer task."""
         self._outbox += encode_frame(frame)
         self._wake.set()
@@ -125,7 +125,7 @@
     if not isinstance(challenge, Challenge):
         raise FrameError('peer did not open with a challenge')
     nonce = secrets.token_bytes(_NONCE_BYTES)
-    link.post(
+    link.enqueue(
         Hello(
             handshake_proof(peer_key, challenge.nonce, b'hello'),
             nonce,
@@ -154,7 +154,7 @@
     peer does not know the key.
     """
     nonce = secrets.token_bytes(_NONCE_BYTES)
-    link.post(Challenge(nonce))
+    link.enqueue(Challenge(nonce))
     await link.flush()
     hello = await link.receive()
     if not isinstance(hello, Hello):
@@ -162,7 +162,7 @@
     expected = handshake_proof(peer_key, nonce, b'hello')
     if not hmac.compare_digest(hello.proof, expected):
         raise FrameError('peer does not know the peer key')
-    link.post(
+    link.enqueue(
         Welcome(
             handshake_proof(peer_key, hello.nonce, b'welcome'),
             welcome.process,
--- a/src/amaranthrail/configsync.py
+++ b/src/amaranthrail/configsync.py
@@ -44,7 +44,7 @@
     of a change from all its peers at once but needs it from one.
     """
     if runtime.pulls.should_pull(heard.manifest_version, heard.drains_version):
-        link.post(ManifestPull())
+        link.enqueue(ManifestPull())
 
 
 def take_push(runtime: Runtime, pushed: ManifestPush) -> None:
@@ -81,7 +81,7 @@
 
 async def _beat(link: Link, runtime: Runtime, interval_ms: float) -> None:
     while True:
-        link.post(heartbeat_without_load(runtime))
+        link.enqueue(heartbeat_without_load(runtime))
         await sleep(interval_ms)
 
 
@@ -94,7 +94,7 @@
         case ManifestPush():
             take_push(runtime, frame)
         case ManifestPull():
-            link.post(push_frame(runtime.configuration))
+            link.enqueue(push_frame(runtime.configuration))
         case _:
             return False
     return True
--- a/src/amaranthrail/entry/peers.py
+++ b/src/amaranthrail/entry/peers.py
@@ -199,21 +199,21 @@
         if self._link is None:
             return
         if cancel and not exchange.ended:
-            self._link.post(Cancel(exchange.request))
+            self._link.enqueue(Cancel(exchange.request))
         else:
             done = Ack(exchange.request, exchange.received, done=True)
-            self._link.post(done)
+            self._link.enqueue(done)
 
     def acknowledge(self, exchange: Exchange) -> None:
         """Open the sidecar's window for what the caller has taken."""
         ack = exchange.ack()
         if ack is not None and self._link is not None:
-            self._link.post(ack)
+            self._link.enqueue(ack)
 
     def announce(self) -> None:
         """Tell the versions in force now rather than at the next beat."""
         if self._link is not None:
-            self._link.post(heartbeat_without_load(self._runtime))
+            self._link.enqueue(heartbeat_without_load(self._runtime))
 
     async def events(self, timeout_ms: float) -> list[Event]:
         """Return the sidecar's time line, empty where it does not answer."""
@@ -221,7 +221,7 @@
             return []
         request = self._access.next_request()
         waiter = self._in_flight.add_waiter(request)
-        self._link.post(EventsRequest(request, 0))
+        self._link.enqueue(EventsRequest(request, 0))
         with move_on_after(timeout_ms):
             await waiter.wait()
         self._in_flight.remove_waiter(request)
@@ -307,7 +307,7 @@
         self._load = None
         self._runtime.timeline.add('peer-connected', self.name)
         for frame in self._in_flight.resumptions():
-            link.post(frame)
+            link.enqueue(frame)
         return True
 
     def _take(self, link: Link, frame: AnyFrame) -> None:
@@ -332,7 +332,7 @@
             exchange.fail(unknown_outcome(Reason.PEER_GONE, 'not connected'))
             return
         self._in_flight.add(exchange)
-        self._link.post(exchange.opening)
+        self._link.enqueue(exchange.opening)
 
     def _drop_link(self, link: Link) -> None:
         if self._link is link:
--- a/src/amaranthrail/sidecar/peers.py
+++ b/src/amaranthrail/sidecar/peers.py
@@ -123,7 +123,7 @@
 
     def announce(self) -> None:
         """Send a heartbeat now."""
-        self._link.post(self._heartbeat())
+        self._link.enqueue(self._heartbeat())
 
     async def _admit(self) -> Hello:
         settings = self._office.settings
@@ -151,7 +151,7 @@
 
     async def _beat(self) -> None:
         while True:
-            self._link.post(self._heartbeat())
+            self._link.enqueue(self._heartbeat())
             await sleep(self._office.settings.heartbeat_ms)
 
     def _heartbeat(self) -> Heartbeat:
@@ -187,7 +187,7 @@
                 self._take_question(frame)
             case EventsRequest():
                 events = self._runtime.timeline.events_after(frame.after)
-                self._link.post(
+                self._link.enqueue(
                     EventsResponse(frame.request, encode_events(events))
                 )
             case GroupOrder():
@@ -201,7 +201,7 @@
             self._runtime.metrics.count('group_orders_unexpected')
             return
         reply = await rank.take(decode_order(frame.payload))
-        self._link.post(GroupReply(frame.request, encode_order(reply)))
+        self._link.enqueue(GroupReply(frame.request, encode_order(reply)))
 
     def _take_question(
         self,
@@ -227,7 +227,7 @@
             # What an earlier incarnation ran cannot be known here.
             stamp = self._runtime.clock.stamp()
             reason = Reason.WRONG_INCARNATION.value
-            self._link.post(Failed(inquiry.request, stamp, reason))
+            self._link.enqueue(Failed(inquiry.request, stamp, reason))
             return
         run = self._office.gate.inquire(inquiry.intent)
         progress = Progress(inquiry.received)
@@ -280,7 +280,7 @@
             nonlocal progress
             stamp = self._runtime.clock.stamp()
             for frame in run.frames(request, progress, stamp):
-                self._link.post(frame)
+                self._link.enqueue(frame)
             progress = Progress(run.length, has_head=run.begun)
             if run.ended:
                 self._sending.pop(request, None)
@@ -310,4 +310,4 @@
     def _refuse(self, request: str, reason: Reason, detail: str) -> None:
         stamp = self._runtime.clock.stamp()
         self._runtime.metrics.count('dispatches_refused', reason=reason.value)
-        self._link.post(Refused(request, stamp, reason.value, detail))
+        self._link.enqueue(Refused(request, stamp, reason.value, detail))
--- a/src/amaranthrail/sidecar/ranklink.py
+++ b/src/amaranthrail/sidecar/ranklink.py
@@ -73,7 +73,7 @@
         request = str(next(self._requests))
         waiter = _Waiter(trio.Event())
         self._waiters[request] = waiter
-        self._link.post(GroupOrder(request, encode_order(order)))
+        self._link.enqueue(GroupOrder(request, encode_order(order)))
         with move_on_after(timeout_ms):
             await waiter.arrived.wait()
         del self._waiters[request]
