--- a/src/amaranthrail/adapters/link.py
+++ b/src/amaranthrail/adapters/link.py
@@ -97,7 +97,7 @@
             self._received.extend(self._decoder.feed(bytes(received)))
         return self._received.popleft()
 
-    async def watch_silence(self, bound_ms: float) -> None:
+    async def watch_liveness(self, bound_ms: float) -> None:
         """Raise LinkClosedError once the peer has been silent too long."""
         while True:
             left_ms = bound_ms - self.silent_ms
--- a/src/amaranthrail/configsync.py
+++ b/src/amaranthrail/configsync.py
@@ -73,7 +73,7 @@
     """Beat without load, and hand on what arrives, until the link ends."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(link.run_writer)
-        nursery.start_soon(link.watch_silence, settings.silence_ms)
+        nursery.start_soon(link.watch_liveness, settings.silence_ms)
         nursery.start_soon(_beat, link, runtime, settings.heartbeat_ms)
         while True:
             take(await link.receive())
--- a/src/amaranthrail/sidecar/peers.py
+++ b/src/amaranthrail/sidecar/peers.py
@@ -144,7 +144,7 @@
         silence_ms = self._office.settings.silence_ms
         async with trio.open_nursery() as nursery:
             nursery.start_soon(link.run_writer)
-            nursery.start_soon(link.watch_silence, silence_ms)
+            nursery.start_soon(link.watch_liveness, silence_ms)
             nursery.start_soon(self._beat)
             while True:
                 self._take(await link.receive(), nursery)
