--- a/src/amaranthrail/adapters/httpserver.py
+++ b/src/amaranthrail/adapters/httpserver.py
@@ -194,7 +194,7 @@
             finally:
                 self._idle.discard(scope)
 
-    async def wait_closing(self) -> None:
+    async def wait_until_closing(self) -> None:
         """Return once the server is shutting down."""
         await self._closing.wait()
 
--- a/src/amaranthrail/entry/service.py
+++ b/src/amaranthrail/entry/service.py
@@ -138,7 +138,7 @@
                         handler_nursery=connections,
                     ),
                 )
-                await state.wait_closing()
+                await state.wait_until_closing()
                 accepting.cancel_scope.cancel()
             for listener in listeners:
                 await listener.aclose()
