--- a/src/amaranthrail/adapters/httpserver.py
+++ b/src/amaranthrail/adapters/httpserver.py
@@ -163,7 +163,7 @@
         """Return how many requests are in progress."""
         return self._active
 
-    def count(self, change: int) -> None:
+    def add_active(self, change: int) -> None:
         """Count a request in or out."""
         self._active += change
 
@@ -354,11 +354,11 @@
             return
         if request is None:
             return
-        state.count(1)
+        state.add_active(1)
         try:
             finished = await _answer(connection, handler, request)
         finally:
-            state.count(-1)
+            state.add_active(-1)
         if not finished or not connection.start_next():
             return
 
