--- a/src/amaranthrail/adapters/httpclient.py
+++ b/src/amaranthrail/adapters/httpclient.py
@@ -175,16 +175,19 @@
         headers: HeaderList = (),
         body: bytes = b'',
         *,
-        fresh: bool = False,
-        patience: AbstractContextManager[None] | None = None,
+        new_connection: bool = False,
+        head_guard: AbstractContextManager[None] | None = None,
     ) -> AsyncIterator[HttpExchange]:
-        """Send a request and give the answer, its head already read.
+        """Send a request and yield the exchange once the head has arrived.
 
-        ``fresh`` takes a new connection, so that a failure to connect proves
-        that the server has not seen the request; ``patience`` bounds the wait
-        for the head. Raises HttpError.
+        ``new_connection`` uses no idle connection, so that a failure to
+        connect proves that the server has not seen the request.
+        ``head_guard`` surrounds sending and the wait for the head; it may
+        cancel them and must suppress the cancellation.
+
+        Raises HttpError, also where the guard has cancelled.
         """
-        kept = None if fresh else self._take_idle()
+        kept = None if new_connection else self._take_idle()
         if kept is None:
             parser, stream = await self._connect()
         else:
@@ -192,7 +195,7 @@
         exchange = HttpExchange(parser, stream)
         try:
             send = self._send(parser, stream, method, target, headers, body)
-            await _begin(exchange, send, patience, pooled=kept is not None)
+            await _begin(exchange, send, head_guard, pooled=kept is not None)
             yield exchange
         finally:
             await self._give_back(parser, stream, exchange)
@@ -204,7 +207,7 @@
         headers: HeaderList = (),
         body: bytes = b'',
         *,
-        fresh: bool = False,
+        new_connection: bool = False,
     ) -> HttpResponse:
         """Return the whole answer to a request. Raises HttpError."""
         async with self.exchange(
@@ -212,7 +215,7 @@
             target,
             headers,
             body,
-            fresh=fresh,
+            new_connection=new_connection,
         ) as exchange:
             async with aclosing(exchange.body_chunks()) as parts:
                 chunks = [part async for part in parts]
@@ -347,13 +350,13 @@
 async def _begin(
     exchange: HttpExchange,
     send: Awaitable[None],
-    patience: AbstractContextManager[None] | None,
+    head_guard: AbstractContextManager[None] | None,
     *,
     pooled: bool,
 ) -> None:
     """Send a request and read its answer's head, noting what failed."""
     try:
-        with patience or nullcontext():
+        with head_guard or nullcontext():
             await send
             await exchange.read_head()
     except HttpError as error:
--- a/src/amaranthrail/api.py
+++ b/src/amaranthrail/api.py
@@ -172,7 +172,7 @@
                     target,
                     self._headers,
                     body,
-                    fresh=True,
+                    new_connection=True,
                 )
         except (HttpError, trio.TooSlowError) as error:
             raise ApiError(f'entry {client.address}: {error}') from error
--- a/src/amaranthrail/direct/attempt.py
+++ b/src/amaranthrail/direct/attempt.py
@@ -57,8 +57,8 @@
                 call.request.body,
                 # A kept connection may have been closed by the other end, and
                 # then nobody can tell whether the request was read.
-                fresh=not call.route.retryable,
-                patience=relay.patience(),
+                new_connection=not call.route.retryable,
+                head_guard=relay.patience(),
             ) as exchange:
                 return await self._take(call, upstream, relay, exchange)
         except HttpError as error:
--- a/src/amaranthrail/sidecar/worker.py
+++ b/src/amaranthrail/sidecar/worker.py
@@ -112,7 +112,7 @@
                 dispatch.target,
                 forwarded_headers(dispatch.headers),
                 dispatch.body,
-                fresh=fresh,
+                new_connection=fresh,
             ) as exchange:
                 run.begin(exchange.status, forwarded_headers(exchange.headers))
                 await self._relay_body(run, exchange)
