--- a/tests/client.py
+++ b/tests/client.py
@@ -9,7 +9,7 @@
 LAST_EVENT = b'data: [DONE]\n\n'
 
 
-def auth(fleet: Fleet, number: int = 0) -> dict[str, str]:
+def auth_headers(fleet: Fleet, number: int = 0) -> dict[str, str]:
     return {'Authorization': f'Bearer {fleet.token(number)}'}
 
 
@@ -32,7 +32,7 @@
         'POST',
         '/v1/chat/completions',
         order,
-        auth(fleet),
+        auth_headers(fleet),
     )
 
 
@@ -51,6 +51,10 @@
         method,
         path,
         body or {'books': 1},
-        {**auth(fleet, number), 'Idempotency-Key': key, **(headers or {})},
+        {
+            **auth_headers(fleet, number),
+            'Idempotency-Key': key,
+            **(headers or {}),
+        },
         timeout,
     )
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -13,7 +13,7 @@
 from standins.fleet import Fleet, running_fleet
 from standins.launch import FleetPlan, UpstreamProcess
 
-from .client import LAST_EVENT, auth, draft
+from .client import LAST_EVENT, auth_headers, draft
 
 TOKENS = 300
 STREAMS = 6
@@ -138,7 +138,7 @@
     body = (
         b'{"model":"redattore","prompt":"gone","max_tokens":9999,"stream":true}'
     )
-    connection.request('POST', '/v1/completions', body, auth(streaming))
+    connection.request('POST', '/v1/completions', body, auth_headers(streaming))
     answer = connection.getresponse()
     assert answer.read(10)
     answer.close()
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -10,7 +10,7 @@
 from standins.fleet import Fleet
 from standins.launch import ADMIN_TOKEN
 
-from .client import auth, draft, file_order
+from .client import auth_headers, draft, file_order
 from .raw import exchange, exchange_at
 
 CHAT = '/v1/chat/completions'
@@ -42,7 +42,9 @@
     status: int,
     reason: str | None,
 ) -> None:
-    answer = http_call(fleet.entries[0].url, method, path, body, auth(fleet))
+    answer = http_call(
+        fleet.entries[0].url, method, path, body, auth_headers(fleet)
+    )
     assert answer.status == status
     assert answer.headers['x-outcome'] == 'not-run'
     assert answer.headers['content-type'] == 'application/problem+json'
@@ -64,7 +66,7 @@
 
 @pytest.mark.parametrize(('fields', 'status'), BAD_FIELDS)
 def test_bad_field(fleet: Fleet, fields: dict[str, str], status: int) -> None:
-    headers = {**auth(fleet), **fields}
+    headers = {**auth_headers(fleet), **fields}
     entry = fleet.entries[0]
     answer = http_call(entry.url, 'GET', '/sportello/orders/1', headers=headers)
     assert answer.status == status
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -9,7 +9,7 @@
 from standins.engine import token_text
 from standins.fleet import Fleet
 
-from .client import LAST_EVENT, auth, draft, file_order
+from .client import LAST_EVENT, auth_headers, draft, file_order
 
 
 def test_streamed_draft_is_whole(fleet: Fleet) -> None:
@@ -52,7 +52,7 @@
         fleet.entries[0].url,
         'GET',
         '/sportello/orders/17?full=1',
-        headers=auth(fleet),
+        headers=auth_headers(fleet),
     )
     assert answer.status == 200
     assert answer.json()['path'] == '/sportello/orders/17'
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -19,7 +19,7 @@
 from standins.fleet import Fleet, running_fleet
 from standins.launch import FleetPlan
 
-from .client import LAST_EVENT, auth
+from .client import LAST_EVENT, auth_headers
 from .raw import exchange_at
 
 PATH = '/v1/completions'
@@ -75,7 +75,9 @@
 
 
 def _headers(fleet: Fleet) -> HeaderList:
-    return tuple((name.lower(), text) for name, text in auth(fleet).items())
+    return tuple(
+        (name.lower(), text) for name, text in auth_headers(fleet).items()
+    )
 
 
 def test_caller_is_served_over_tls(
