--- a/tests/client.py
+++ b/tests/client.py
@@ -13,7 +13,7 @@
     return {'Authorization': f'Bearer {fleet.token(number)}'}
 
 
-def draft(
+def request_completion(
     fleet: Fleet,
     entry: EntryProcess,
     prompt: str,
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -13,7 +13,7 @@
 from standins.fleet import Fleet, running_fleet
 from standins.launch import FleetPlan, UpstreamProcess
 
-from .client import LAST_EVENT, auth_headers, draft
+from .client import LAST_EVENT, auth_headers, request_completion
 
 TOKENS = 300
 STREAMS = 6
@@ -57,7 +57,7 @@
 def _stream(fleet: Fleet, prompt: str) -> bytes:
     """Return what a caller got; a cut answer raises."""
     entry = fleet.entries[len(prompt) % 2]
-    return draft(fleet, entry, prompt, TOKENS).body
+    return request_completion(fleet, entry, prompt, TOKENS).body
 
 
 def _prompts(name: str) -> list[str]:
@@ -103,7 +103,7 @@
         one.set_faults(cut_after_bytes=200)
     try:
         with pytest.raises(client.IncompleteRead):
-            draft(streaming, streaming.entries[0], 'cut', TOKENS)
+            request_completion(streaming, streaming.entries[0], 'cut', TOKENS)
     finally:
         for one in streaming.of_service('redattore'):
             one.set_faults(cut_after_bytes=None)
@@ -112,7 +112,7 @@
 def test_plain_answer_survives_a_lost_sidecar(streaming: Fleet) -> None:
     with ThreadPoolExecutor(1) as pool:
         answer = pool.submit(
-            draft,
+            request_completion,
             streaming,
             streaming.entries[0],
             'tried twice',
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -10,7 +10,7 @@
 from standins.fleet import Fleet
 from standins.launch import ADMIN_TOKEN
 
-from .client import auth_headers, draft, file_order
+from .client import auth_headers, file_order, request_completion
 from .raw import exchange, exchange_at
 
 CHAT = '/v1/chat/completions'
@@ -50,7 +50,7 @@
     assert answer.headers['content-type'] == 'application/problem+json'
     if reason:
         assert answer.json()['reason'] == reason
-    assert draft(fleet, fleet.entries[0], 'after').status == 200
+    assert request_completion(fleet, fleet.entries[0], 'after').status == 200
 
 
 BAD_FIELDS = [
@@ -117,7 +117,9 @@
 def test_reset_connections_disturb_nobody(fleet: Fleet) -> None:
     for _ in range(20):
         exchange(fleet.entries[0], b'\x16\x03\x01garbage', close=True)
-    assert draft(fleet, fleet.entries[0], 'still here').status == 200
+    assert (
+        request_completion(fleet, fleet.entries[0], 'still here').status == 200
+    )
     assert fleet.entries[0].child.running
 
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -13,7 +13,7 @@
 from standins.fleet import Fleet, running_fleet
 from standins.launch import FleetPlan, UpstreamProcess
 
-from .client import LAST_EVENT, draft
+from .client import LAST_EVENT, request_completion
 
 #: The bound of the page: no new work this long after the word to leave.
 LEAVE_S = 2.0
@@ -82,7 +82,7 @@
 
 def _draft(fleet: Fleet, number: int) -> Answer:
     entry = fleet.entries[number % 2]
-    return draft(fleet, entry, f'prompt {number}', TOKENS)
+    return request_completion(fleet, entry, f'prompt {number}', TOKENS)
 
 
 def _assert_whole(streams: list[Future[Answer]]) -> None:
--- a/tests/test_manifest_spread.py
+++ b/tests/test_manifest_spread.py
@@ -12,7 +12,7 @@
 from standins.fleet import Fleet, running_fleet
 from standins.launch import FleetPlan
 
-from .client import draft
+from .client import request_completion
 
 #: The letter's bound for a change to be in force everywhere.
 IN_FORCE_S = 4.0
@@ -107,7 +107,7 @@
             child.kill()
             child.restart()
         wait_until(lambda: _versions(spread) == {version}, 10)
-        answer = draft(spread, spread.entries[0], 'in an outage')
+        answer = request_completion(spread, spread.entries[0], 'in an outage')
     finally:
         spread.fault_platform(log='up')
     assert answer.status == 200
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -9,11 +9,11 @@
 from standins.engine import token_text
 from standins.fleet import Fleet
 
-from .client import LAST_EVENT, auth_headers, draft, file_order
+from .client import LAST_EVENT, auth_headers, file_order, request_completion
 
 
 def test_streamed_draft_is_whole(fleet: Fleet) -> None:
-    answer = draft(fleet, fleet.entries[0], 'ciao', tokens=6)
+    answer = request_completion(fleet, fleet.entries[0], 'ciao', tokens=6)
     assert answer.status == 200
     assert answer.headers['x-outcome'] == 'ran'
     tokens = [token_text('ciao', index) for index in range(6)]
@@ -22,7 +22,9 @@
 
 
 def test_plain_draft_is_whole(fleet: Fleet) -> None:
-    answer = draft(fleet, fleet.entries[1], 'ahoj', tokens=3, stream=False)
+    answer = request_completion(
+        fleet, fleet.entries[1], 'ahoj', tokens=3, stream=False
+    )
     tokens = [token_text('ahoj', index) for index in range(3)]
     assert answer.json()['text'] == ' '.join(tokens)
 
