--- a/tests/client.py
+++ b/tests/client.py
@@ -36,7 +36,7 @@
     )
 
 
-def file_order(
+def submit_order(
     fleet: Fleet,
     entry: EntryProcess,
     key: str,
--- a/tests/filing.py
+++ b/tests/filing.py
@@ -14,7 +14,7 @@
 from standins.fleet import Fleet
 from standins.launch import EntryProcess
 
-from .client import file_order
+from .client import submit_order
 
 #: The page's bound: every key has ended this long after a fault's end.
 SETTLE_S = 10.0
@@ -74,7 +74,7 @@
 def tell(fleet: Fleet, entry: EntryProcess, key: str) -> str:
     """Return what a caller is told: an outcome, or that nothing came."""
     try:
-        answer = file_order(fleet, entry, key, timeout=_CALL_TIMEOUT_S)
+        answer = submit_order(fleet, entry, key, timeout=_CALL_TIMEOUT_S)
     except (OSError, client.HTTPException):
         return 'nothing'
     return outcome_of(answer)
@@ -130,7 +130,7 @@
     for one in upstreams:
         one.set_faults(cut_after_bytes=5)
     try:
-        answer = file_order(fleet, fleet.entries[0], key)
+        answer = submit_order(fleet, fleet.entries[0], key)
     finally:
         for one in upstreams:
             one.set_faults(cut_after_bytes=None)
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -14,7 +14,7 @@
 from standins.fleet import Fleet, running_fleet
 from standins.launch import EntryProcess, FleetPlan, UpstreamProcess
 
-from .client import file_order
+from .client import submit_order
 from .evidence import Seen, appends_unanswered, latest_stamp, peers_lost
 from .faults import FAULTS, Fault
 from .filing import Workload, check_promises, lose, lost_keys, settled
@@ -77,15 +77,15 @@
 
 def test_key_that_ran_is_known_in_a_log_outage(faulty: Fleet) -> None:
     key = 'before-the-outage'
-    first = file_order(faulty, faulty.entries[0], key)
+    first = submit_order(faulty, faulty.entries[0], key)
     forgetful = faulty.entries[1]
     faulty.fault_platform(log='down')
     forgetful.child.kill()
     forgetful.child.restart()
     try:
         faulty.wait_entry_ready(forgetful)
-        again = file_order(faulty, forgetful, key)
-        fresh = file_order(faulty, forgetful, 'in-the-outage')
+        again = submit_order(faulty, forgetful, key)
+        fresh = submit_order(faulty, forgetful, 'in-the-outage')
     finally:
         faulty.fault_platform(log='up')
     assert (again.status, again.body) == (200, first.body)
@@ -98,7 +98,7 @@
     faulty: Fleet,
 ) -> None:
     key = 'known-to-one'
-    first = file_order(faulty, faulty.entries[0], key)
+    first = submit_order(faulty, faulty.entries[0], key)
     assert first.status == 200, first.body
     forgetful = faulty.entries[1]
     silent = [
@@ -115,7 +115,7 @@
         wait_until(lambda: _connected(faulty, forgetful) == 3)
         for sidecar in silent:
             sidecar.pause()
-        again = file_order(faulty, forgetful, key)
+        again = submit_order(faulty, forgetful, key)
     finally:
         for sidecar in silent:
             sidecar.resume()
@@ -131,7 +131,7 @@
         wait_until(lambda: _only_lost_are_known(faulty))
         time.sleep(2 * RETENTION_MS / 1000)
         assert key in lost_keys(faulty)
-        again = file_order(faulty, faulty.entries[1], key)
+        again = submit_order(faulty, faulty.entries[1], key)
     finally:
         faulty.fault_platform(retention_ms=DAY_MS)
     assert (again.status, again.json()['reason']) == (409, 'key-lost')
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -10,7 +10,7 @@
 from standins.fleet import Fleet
 from standins.launch import ADMIN_TOKEN
 
-from .client import auth_headers, file_order, request_completion
+from .client import auth_headers, request_completion, submit_order
 from .raw import exchange, exchange_at
 
 CHAT = '/v1/chat/completions'
@@ -96,7 +96,7 @@
     )
     received = exchange(fleet.entries[0], head.encode() + b'abc', close=True)
     assert b' 200 ' not in received
-    assert file_order(fleet, fleet.entries[0], 'probe').status == 200
+    assert submit_order(fleet, fleet.entries[0], 'probe').status == 200
     assert not [
         run for run in fleet.runs('sportello') if run['key'] == 'short-body'
     ]
@@ -126,24 +126,24 @@
 def test_claimed_organisation_changes_nothing(fleet: Fleet) -> None:
     other = 'organisation-02'
     claims = {'X-Organisation': other, 'X-Tenant-Id': other}
-    answer = file_order(fleet, fleet.entries[0], 'claim', headers=claims)
+    answer = submit_order(fleet, fleet.entries[0], 'claim', headers=claims)
     assert answer.json()['organisation'] == 'organisation-01'
 
 
 def test_key_belongs_to_its_organisation(fleet: Fleet) -> None:
-    first = file_order(fleet, fleet.entries[0], 'shared', 0)
-    second = file_order(fleet, fleet.entries[0], 'shared', 1)
+    first = submit_order(fleet, fleet.entries[0], 'shared', 0)
+    second = submit_order(fleet, fleet.entries[0], 'shared', 1)
     assert first.json()['organisation'] == 'organisation-01'
     assert second.json()['organisation'] == 'organisation-02'
 
 
 def test_key_reused_with_another_body(fleet: Fleet) -> None:
-    file_order(fleet, fleet.entries[0], 'reused')
+    submit_order(fleet, fleet.entries[0], 'reused')
     for entry in fleet.entries:
-        answer = file_order(fleet, entry, 'reused', body={'books': 2})
+        answer = submit_order(fleet, entry, 'reused', body={'books': 2})
         assert answer.status == 422
         assert answer.json()['reason'] == 'key-reused'
-        assert file_order(fleet, entry, 'reused').status == 200
+        assert submit_order(fleet, entry, 'reused').status == 200
 
 
 PEER_GARBAGE = [
@@ -193,4 +193,4 @@
         http_call(fleet.platform_address, 'POST', '/log/filings-0', text)
     expected = before + 2 * len(garbage)
     wait_until(lambda: fleet.status(entry)['records_skipped'] == expected)
-    assert file_order(fleet, entry, 'after-garbage').status == 200
+    assert submit_order(fleet, entry, 'after-garbage').status == 200
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -9,7 +9,7 @@
 from standins.engine import token_text
 from standins.fleet import Fleet
 
-from .client import LAST_EVENT, auth_headers, file_order, request_completion
+from .client import LAST_EVENT, auth_headers, request_completion, submit_order
 
 
 def test_streamed_draft_is_whole(fleet: Fleet) -> None:
@@ -31,8 +31,8 @@
 
 def test_filing_runs_once_and_stands_in_the_log(fleet: Fleet) -> None:
     key = 'path-filing'
-    first = file_order(fleet, fleet.entries[0], key)
-    again = file_order(fleet, fleet.entries[1], key)
+    first = submit_order(fleet, fleet.entries[0], key)
+    again = submit_order(fleet, fleet.entries[1], key)
     assert (first.status, again.status) == (200, 200)
     assert first.body == again.body
     runs = [run for run in fleet.runs('sportello') if run['key'] == key]
--- a/tests/test_same_key.py
+++ b/tests/test_same_key.py
@@ -8,7 +8,7 @@
 from standins.calling import wait_until
 from standins.fleet import Fleet
 
-from .client import file_order
+from .client import submit_order
 from .filing import lose, lost_keys, resolve
 
 KEYS = 12
@@ -23,7 +23,7 @@
     ]
     with ThreadPoolExecutor(len(asks)) as pool:
         answers = list(
-            pool.map(lambda ask: file_order(fleet, ask[1], ask[0]), asks)
+            pool.map(lambda ask: submit_order(fleet, ask[1], ask[0]), asks)
         )
     assert [one.status for one in answers] == [200 for _ in asks]
     bodies = {
@@ -43,7 +43,7 @@
     try:
         with ThreadPoolExecutor(2) as pool:
             hurried = pool.submit(
-                file_order,
+                submit_order,
                 fleet,
                 entry,
                 'hurried',
@@ -51,7 +51,7 @@
             )
             wait_until(lambda: _is_open(fleet) or hurried.done())
             patient = pool.submit(
-                file_order,
+                submit_order,
                 fleet,
                 entry,
                 'hurried',
@@ -72,8 +72,8 @@
 
 
 def test_key_again_after_its_outcome(fleet: Fleet) -> None:
-    first = file_order(fleet, fleet.entries[0], 'again')
-    later = [file_order(fleet, entry, 'again') for entry in fleet.entries * 3]
+    first = submit_order(fleet, fleet.entries[0], 'again')
+    later = [submit_order(fleet, entry, 'again') for entry in fleet.entries * 3]
     assert {(one.status, one.body) for one in later} == {(200, first.body)}
     counts = Counter(run['key'] for run in fleet.runs('sportello'))
     assert counts['again'] == 1
@@ -83,8 +83,8 @@
     key = 'cut-off'
     first = lose(fleet, key)
     assert (first.status, first.headers['x-outcome']) == (504, 'unknown')
-    again = file_order(fleet, fleet.entries[1], key)
+    again = submit_order(fleet, fleet.entries[1], key)
     assert (again.status, again.json()['reason']) == (409, 'key-lost')
     assert resolve(fleet, key, 'not-run') == 200
-    assert file_order(fleet, fleet.entries[1], key).status == 200
+    assert submit_order(fleet, fleet.entries[1], key).status == 200
     assert key not in lost_keys(fleet)
