--- a/tests/raw.py
+++ b/tests/raw.py
@@ -14,10 +14,10 @@
     entry: EntryProcess, payload: bytes, *, close: bool = False
 ) -> bytes:
     """Send bytes and return all that comes until the server closes or idles."""
-    return exchange_at(entry.url.removeprefix('http://'), payload, close=close)
+    return send_raw_to(entry.url.removeprefix('http://'), payload, close=close)
 
 
-def exchange_at(address: str, payload: bytes, *, close: bool = False) -> bytes:
+def send_raw_to(address: str, payload: bytes, *, close: bool = False) -> bytes:
     """Send bytes to an address; ``close`` ends our side first."""
     host, _, port = address.partition(':')
     connection = socket.create_connection((host, int(port)), _TIMEOUT_S)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -11,7 +11,7 @@
 from standins.launch import ADMIN_TOKEN
 
 from .client import auth_headers, request_completion, submit_order
-from .raw import exchange, exchange_at
+from .raw import exchange, send_raw_to
 
 CHAT = '/v1/chat/completions'
 
@@ -161,7 +161,7 @@
 @pytest.mark.parametrize('payload', PEER_GARBAGE)
 def test_peer_port_closes_on_garbage(fleet: Fleet, payload: bytes) -> None:
     upstream = fleet.upstreams[0]
-    received = exchange_at(upstream.sidecar_address, payload)
+    received = send_raw_to(upstream.sidecar_address, payload)
     # A challenge is all that anybody without the key gets to see.
     assert b'challenge' in received
     assert b'welcome' not in received
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -20,7 +20,7 @@
 from standins.launch import FleetPlan
 
 from .client import LAST_EVENT, auth_headers
-from .raw import exchange_at
+from .raw import send_raw_to
 
 PATH = '/v1/completions'
 
@@ -100,7 +100,7 @@
 
 
 def test_peer_without_certificate_gets_no_challenge(secured: Fleet) -> None:
-    received = exchange_at(secured.upstreams[0].sidecar_address, b'\x00' * 64)
+    received = send_raw_to(secured.upstreams[0].sidecar_address, b'\x00' * 64)
     assert b'challenge' not in received
 
 
