--- a/tests/raw.py
+++ b/tests/raw.py
@@ -10,7 +10,7 @@
 _TIMEOUT_S = 10
 
 
-def exchange(
+def send_raw(
     entry: EntryProcess, payload: bytes, *, close: bool = False
 ) -> bytes:
     """Send bytes and return all that comes until the server closes or idles."""
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -11,7 +11,7 @@
 from standins.launch import ADMIN_TOKEN
 
 from .client import auth_headers, request_completion, submit_order
-from .raw import exchange, send_raw_to
+from .raw import send_raw, send_raw_to
 
 CHAT = '/v1/chat/completions'
 
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize(('payload', 'status'), BAD_BYTES)
 def test_bad_bytes(fleet: Fleet, payload: bytes, status: int) -> None:
-    received = exchange(fleet.entries[0], payload)
+    received = send_raw(fleet.entries[0], payload)
     assert received.startswith(f'HTTP/1.1 {status} '.encode())
 
 
@@ -94,7 +94,7 @@
         f'authorization: Bearer {fleet.token()}\r\n'
         'idempotency-key: short-body\r\ncontent-length: 10\r\n\r\n'
     )
-    received = exchange(fleet.entries[0], head.encode() + b'abc', close=True)
+    received = send_raw(fleet.entries[0], head.encode() + b'abc', close=True)
     assert b' 200 ' not in received
     assert submit_order(fleet, fleet.entries[0], 'probe').status == 200
     assert not [
@@ -109,14 +109,14 @@
         f'{"connection: close" if number == 3 else "x-n: 1"}\r\n\r\n'
         for number in (1, 2, 3)
     )
-    received = exchange(fleet.entries[0], requests.encode()).decode()
+    received = send_raw(fleet.entries[0], requests.encode()).decode()
     places = [received.index(f'/sportello/orders/{one}') for one in (1, 2, 3)]
     assert places == sorted(places)
 
 
 def test_reset_connections_disturb_nobody(fleet: Fleet) -> None:
     for _ in range(20):
-        exchange(fleet.entries[0], b'\x16\x03\x01garbage', close=True)
+        send_raw(fleet.entries[0], b'\x16\x03\x01garbage', close=True)
     assert (
         request_completion(fleet, fleet.entries[0], 'still here').status == 200
     )
