--- a/tests/raw.py
+++ b/tests/raw.py
@@ -25,10 +25,10 @@
         connection.sendall(payload)
         if close:
             connection.shutdown(socket.SHUT_WR)
-        return read_all(connection)
+        return read_until_closed(connection)
 
 
-def read_all(connection: socket.socket) -> bytes:
+def read_until_closed(connection: socket.socket) -> bytes:
     """Return bytes until the other side closes."""
     received = b''
     with contextlib.suppress(ConnectionError):
