--- a/src/amaranthrail/adapters/httpclient.py
+++ b/src/amaranthrail/adapters/httpclient.py
@@ -1,4 +1,4 @@
-"""Call HTTP/1.1 servers with h11; pool connections where that is safe."""
+"""Call HTTP/1.1 servers with h11; reuse connections where that is safe."""
 
 from __future__ import annotations
 
@@ -27,19 +27,28 @@
 from ..exceptions import HttpError
 from ..types import HeaderList
 
+#: Time for opening a connection, TLS handshake included.
 CONNECT_TIMEOUT_MS = 2000.0
+#: Most bytes taken from a stream by one read.
 _READ_BYTES = 65_536
+#: Most idle connections that one client keeps.
 _MAX_IDLE = 64
-#: An idle connection is not used in the last of its time at the server.
+#: An idle connection is not reused in the last part of the keep-alive timeout
+#: that its server states.
 _IDLE_MARGIN_MS = 500.0
-#: Idle time after which a connection to a server that names none is closed.
+#: Idle time after which a connection is not reused where its server states no
+#: keep-alive timeout.
 _DEFAULT_IDLE_MS = 30_000.0
-#: Unacknowledged bytes for this long end a connection: the path is gone.
-_UNACKNOWLEDGED_MS = 3000
-_KEEP_ALIVE = re.compile(r'timeout=(\d+)', re.IGNORECASE)
-_Field = tuple[bytes, bytes]
+#: TCP_USER_TIMEOUT: a connection on which sent bytes stay unacknowledged for
+#: this long is closed, because the network path has failed.
+_TCP_USER_TIMEOUT_MS = 3000
+#: Timeout in a Keep-Alive header field, in seconds.
+_KEEP_ALIVE_TIMEOUT = re.compile(r'timeout=(\d+)', re.IGNORECASE)
+#: Name and value of a header field.
+_EncodedField = tuple[bytes, bytes]
 _ParserEvent = h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]
-_BROKEN = (
+#: What streams and the parser raise when a connection fails.
+_CONNECTION_ERRORS = (
     trio.BrokenResourceError,
     trio.ClosedResourceError,
     trio.TooSlowError,
@@ -49,43 +58,46 @@
 
 
 class Address(msgspec.Struct, frozen=True):
-    """Name a TCP endpoint by IP number and port."""
+    """Identify a TCP endpoint by IP address and port."""
 
     host: str
     port: int
 
     def __str__(self) -> str:
-        """Return ``host:port``."""
+        """Return ``host:port``, without brackets around an IPv6 address."""
         return f'{self.host}:{self.port}'
 
 
 def parse_address(text: str) -> Address:
-    """Return the address in ``host:port`` or ``http://host:port``."""
-    bare = text.partition('://')[2] or text
-    host, _, port = bare.rstrip('/').rpartition(':')
+    """Parse ``host:port`` or ``http://host:port``.
+
+    Raises ValueError where the port is no integer.
+    """
+    authority = text.partition('://')[2] or text
+    host, _, port = authority.rstrip('/').rpartition(':')
     return Address(host.strip('[]'), int(port))
 
 
 class HttpResponse(msgspec.Struct, frozen=True):
-    """Hold one whole answer."""
+    """Hold a complete response."""
 
     status: int
     headers: HeaderList
     body: bytes
 
     def header(self, name: str) -> str | None:
-        """Return the first field of a lower-case name."""
+        """Return the first value of a header field, its name in lower case."""
         return next(
-            (text for known, text in self.headers if known == name),
+            (text for field, text in self.headers if field == name),
             None,
         )
 
 
 class HttpExchange:
-    """Hold the answer to one request while its body arrives."""
+    """Read the response to one request: its head, then its body."""
 
     def __init__(self, parser: h11.Connection, stream: trio.abc.Stream) -> None:
-        """Take a connection on which a request has been sent."""
+        """Read from the connection that the request is sent on."""
         self._parser = parser
         self._stream = stream
         self._status = 0
@@ -93,16 +105,19 @@
 
     @property
     def status(self) -> int:
-        """Return the answer's status."""
+        """Return the status code, 0 until the head has been read."""
         return self._status
 
     @property
     def headers(self) -> HeaderList:
-        """Return the answer's header fields."""
+        """Return the header fields, none until the head has been read."""
         return self._headers
 
     async def read_head(self) -> None:
-        """Wait for the answer's head."""
+        """Wait for the head of the final response, skipping 1xx responses.
+
+        Raises HttpError where the response ends or fails before.
+        """
         head = await self._next_event()
         while isinstance(head, h11.InformationalResponse):
             head = await self._next_event()
@@ -110,12 +125,12 @@
             raise HttpError('no answer before the end', sent=True)
         self._status = head.status_code
         self._headers = tuple(
-            (name.decode('latin-1'), text.decode('latin-1'))
-            for name, text in head.headers
+            (name.decode('latin-1'), field_value.decode('latin-1'))
+            for name, field_value in head.headers
         )
 
     async def body_chunks(self) -> AsyncGenerator[bytes, None]:
-        """Yield the body as it arrives; raises HttpError when it is cut."""
+        """Yield the body as it arrives. Raises HttpError where it is cut."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.EndOfMessage):
@@ -131,18 +146,18 @@
                     return event
                 received = await self._stream.receive_some(_READ_BYTES)
                 self._parser.receive_data(bytes(received))
-            except _BROKEN as error:
+            except _CONNECTION_ERRORS as error:
                 raise HttpError(f'answer cut: {error}', sent=True) from error
 
 
-class _Idle(msgspec.Struct, frozen=True):
+class _IdleConnection(msgspec.Struct, frozen=True):
     parser: h11.Connection
     stream: trio.abc.Stream
     usable_until: float
 
 
 class HttpClient:
-    """Call one server, keeping idle connections for later calls."""
+    """Call one server, reusing idle connections."""
 
     def __init__(
         self,
@@ -150,12 +165,15 @@
         tls: ssl.SSLContext | None = None,
         connect_timeout_ms: float = CONNECT_TIMEOUT_MS,
     ) -> None:
-        """Take the server's address and, for HTTPS, a TLS context."""
+        """Connect to ``address``, over TLS where a context is given.
+
+        ``connect_timeout_ms`` bounds the TLS handshake too.
+        """
         self._address = address
         self._tls = tls
         self._connect_timeout_s = connect_timeout_ms / MS_PER_SECOND
         self._clock = Clock()
-        self._idle: deque[_Idle] = deque()
+        self._idle: deque[_IdleConnection] = deque()
 
     @property
     def address(self) -> Address:
@@ -163,9 +181,9 @@
         return self._address
 
     def close_idle(self) -> None:
-        """Close the connections that serve no call."""
+        """Close the idle connections."""
         while self._idle:
-            _close_now(self._idle.pop().stream)
+            _close_transport(self._idle.pop().stream)
 
     @asynccontextmanager
     async def exchange(
@@ -178,7 +196,7 @@
         new_connection: bool = False,
         head_guard: AbstractContextManager[None] | None = None,
     ) -> AsyncIterator[HttpExchange]:
-        """Send a request and yield the exchange once the head has arrived.
+        """Send a request and yield its exchange once the head has arrived.
 
         ``new_connection`` uses no idle connection, so that a failure to
         connect proves that the server has not seen the request.
@@ -187,18 +205,23 @@
 
         Raises HttpError, also where the guard has cancelled.
         """
-        kept = None if new_connection else self._take_idle()
-        if kept is None:
+        idle = None if new_connection else self._pop_idle()
+        if idle is None:
             parser, stream = await self._connect()
         else:
-            parser, stream = kept
+            parser, stream = idle
         exchange = HttpExchange(parser, stream)
         try:
             send = self._send(parser, stream, method, target, headers, body)
-            await _begin(exchange, send, head_guard, pooled=kept is not None)
+            await _send_and_read_head(
+                exchange,
+                send,
+                head_guard,
+                pooled=idle is not None,
+            )
             yield exchange
         finally:
-            await self._give_back(parser, stream, exchange)
+            await self._release(parser, stream, exchange)
 
     async def call(
         self,
@@ -209,7 +232,10 @@
         *,
         new_connection: bool = False,
     ) -> HttpResponse:
-        """Return the whole answer to a request. Raises HttpError."""
+        """Send a request and return the complete response. Raises HttpError.
+
+        ``new_connection`` is as for ``exchange``.
+        """
         async with self.exchange(
             method,
             target,
@@ -217,29 +243,29 @@
             body,
             new_connection=new_connection,
         ) as exchange:
-            async with aclosing(exchange.body_chunks()) as parts:
-                chunks = [part async for part in parts]
+            async with aclosing(exchange.body_chunks()) as body_chunks:
+                chunks = [chunk async for chunk in body_chunks]
             return HttpResponse(
                 exchange.status,
                 exchange.headers,
                 b''.join(chunks),
             )
 
-    def _take_idle(self) -> tuple[h11.Connection, trio.abc.Stream] | None:
-        """Return the latest idle connection that is fit for a request."""
+    def _pop_idle(self) -> tuple[h11.Connection, trio.abc.Stream] | None:
+        """Return the idle connection used last that can still be reused."""
         while self._idle:
             idle = self._idle.pop()
             expired = self._clock.now() > idle.usable_until
-            if not expired and not _has_input(idle.stream):
+            if not expired and not _has_input_or_ended(idle.stream):
                 return idle.parser, idle.stream
-            _close_now(idle.stream)
+            _close_transport(idle.stream)
         return None
 
     async def _connect(self) -> tuple[h11.Connection, trio.abc.Stream]:
         try:
             with trio.fail_after(self._connect_timeout_s):
                 stream = await self._open()
-        except _BROKEN as error:
+        except _CONNECTION_ERRORS as error:
             reason = f'{self._address} does not accept: {error}'
             raise HttpError(reason, sent=False) from error
         return h11.Connection(h11.CLIENT), stream
@@ -249,7 +275,7 @@
             self._address.host,
             self._address.port,
         )
-        _bound_silence(stream)
+        _set_tcp_user_timeout(stream)
         if self._tls is None:
             return stream
         secure = trio.SSLStream(
@@ -270,6 +296,7 @@
         headers: HeaderList,
         body: bytes,
     ) -> None:
+        """Send a request, with Host and Content-Length where needed."""
         fields = list(headers)
         if all(name != 'host' for name, _ in headers):
             fields.insert(0, ('host', str(self._address)))
@@ -286,75 +313,87 @@
         payload += parser.send(h11.EndOfMessage()) or b''
         try:
             await stream.send_all(payload)
-        except _BROKEN as error:
+        except _CONNECTION_ERRORS as error:
             raise HttpError(f'request cut: {error}', sent=True) from error
 
-    async def _give_back(
+    async def _release(
         self,
         parser: h11.Connection,
         stream: trio.abc.Stream,
         exchange: HttpExchange,
     ) -> None:
-        ended = parser.our_state is h11.DONE and parser.their_state is h11.DONE
-        # Bytes after an answer belong to no request.
-        clean = ended and not parser.trailing_data[0]
-        if clean and len(self._idle) < _MAX_IDLE:
+        """Keep a reusable connection if there is room, else close it."""
+        done = parser.our_state is h11.DONE and parser.their_state is h11.DONE
+        # Bytes after the response belong to no request.
+        is_reusable = done and not parser.trailing_data[0]
+        if is_reusable and len(self._idle) < _MAX_IDLE:
             parser.start_next_cycle()
-            until = self._clock.now() + _idle_ms(exchange.headers)
-            self._idle.append(_Idle(parser, stream, until))
+            usable_until = self._clock.now() + _reusable_ms(exchange.headers)
+            self._idle.append(_IdleConnection(parser, stream, usable_until))
             return
         await trio.aclose_forcefully(stream)
 
 
-def encode_fields(fields: Iterable[tuple[str, str]]) -> list[_Field]:
-    """Return header fields as bytes; theirs beyond ASCII are Latin-1."""
+def encode_fields(fields: Iterable[tuple[str, str]]) -> list[_EncodedField]:
+    """Encode header fields as Latin-1.
+
+    Raises UnicodeEncodeError for characters beyond Latin-1.
+    """
     return [
-        (name.encode('latin-1'), text.encode('latin-1'))
-        for name, text in fields
+        (name.encode('latin-1'), field_value.encode('latin-1'))
+        for name, field_value in fields
     ]
 
 
-def _idle_ms(headers: HeaderList) -> float:
-    """Return for how long an answer's connection may be used again."""
-    for name, text in headers:
+def _reusable_ms(headers: HeaderList) -> float:
+    """Return for how long the connection may stay idle and be reused."""
+    for name, field_value in headers:
         if name == 'keep-alive':
-            found = _KEEP_ALIVE.search(text)
-            if found is not None:
-                stated_ms = int(found.group(1)) * MS_PER_SECOND
+            match = _KEEP_ALIVE_TIMEOUT.search(field_value)
+            if match is not None:
+                stated_ms = int(match.group(1)) * MS_PER_SECOND
                 return max(0, stated_ms - _IDLE_MARGIN_MS)
     return _DEFAULT_IDLE_MS
 
 
-def _has_input(stream: trio.abc.Stream) -> bool:
-    """Tell whether an idle connection has ended or carries stray bytes."""
+def _has_input_or_ended(stream: trio.abc.Stream) -> bool:
+    """Return whether an idle connection has ended or has unread bytes.
+
+    Always False for TLS, whose stream cannot be asked.
+    """
     if isinstance(stream, trio.SocketStream):
         return stream.socket.is_readable()
     return False
 
 
-def _close_now(stream: trio.abc.Stream) -> None:
+def _close_transport(stream: trio.abc.Stream) -> None:
+    """Close the socket at once, without a TLS closure alert."""
     if isinstance(stream, trio.SSLStream):
         stream = stream.transport_stream
     if isinstance(stream, trio.SocketStream):
         stream.socket.close()
 
 
-def _bound_silence(stream: trio.SocketStream) -> None:
+def _set_tcp_user_timeout(stream: trio.SocketStream) -> None:
     stream.setsockopt(
         socket.IPPROTO_TCP,
         socket.TCP_USER_TIMEOUT,
-        _UNACKNOWLEDGED_MS,
+        _TCP_USER_TIMEOUT_MS,
     )
 
 
-async def _begin(
+async def _send_and_read_head(
     exchange: HttpExchange,
     send: Awaitable[None],
     head_guard: AbstractContextManager[None] | None,
     *,
     pooled: bool,
 ) -> None:
-    """Send a request and read its answer's head, noting what failed."""
+    """Send a request and wait for the head of its response.
+
+    Sets ``pooled`` on an HttpError. Raises HttpError where ``head_guard`` has
+    cancelled before the head arrived.
+    """
     try:
         with head_guard or nullcontext():
             await send
