--- a/src/amaranthrail/adapters/httpserver.py
+++ b/src/amaranthrail/adapters/httpserver.py
@@ -16,18 +16,25 @@
 from ..types import HeaderList
 from .httpclient import encode_fields
 
+#: Bytes that a request's header fields may have together.
 MAX_HEADER_BYTES = 16_384
+#: Most bytes taken from a stream by one read.
 READ_BYTES = 65_536
+#: Time from a request's head to the end of its body.
 BODY_TIMEOUT_MS = 20_000
+#: Time that a connection may wait for a request.
 IDLE_TIMEOUT_MS = 75_000
+#: Time that one write may take.
 WRITE_TIMEOUT_MS = 30_000
+#: Bytes of pipelined requests that are read while a request is handled.
 _MAX_PIPELINED_BYTES = 65_536
 _HTTP_TIMEOUT = 408
 _HTTP_TOO_LARGE = 413
 _HTTP_HEADERS_TOO_LARGE = 431
 _log = part_logger('http')
 
-_BROKEN = (
+#: What streams and the parser raise when a connection fails.
+_CONNECTION_ERRORS = (
     trio.BrokenResourceError,
     trio.ClosedResourceError,
     trio.TooSlowError,
@@ -37,10 +44,11 @@
 
 
 class ServerLimits(msgspec.Struct, frozen=True):
-    """Bound what callers may send, and how long they may take or stay idle.
+    """Bound the size of requests and the time that callers may take or idle.
 
-    ``header_timeout_ms`` counts from a head's first bytes; without it a head
-    must be there before the connection has been idle for too long.
+    ``header_timeout_ms`` counts from the first bytes of a head; where it is
+    None, the whole head must arrive within ``idle_timeout_ms``. Sizes are in
+    bytes.
     """
 
     max_body_bytes: int
@@ -51,7 +59,7 @@
 
 
 class HttpRequest(msgspec.Struct, frozen=True):
-    """Hold one whole request."""
+    """Hold a complete request."""
 
     method: str
     target: str
@@ -65,34 +73,34 @@
 
     @property
     def query(self) -> dict[str, str]:
-        """Return the query's fields, the last of each name."""
+        """Return the query parameters, the last of each name."""
         return dict(parse_qsl(self.target.partition('?')[2]))
 
     def header(self, name: str) -> str | None:
-        """Return the first field of a lower-case name."""
+        """Return the first value of a header field, its name in lower case."""
         return next(
-            (text for known, text in self.headers if known == name),
+            (text for field, text in self.headers if field == name),
             None,
         )
 
 
 class ResponseWriter:
-    """Write one answer; an answer never finished closes the connection."""
+    """Write one response; the connection closes if it is not finished."""
 
     def __init__(self, connection: _Connection) -> None:
-        """Take the connection that the request came on."""
+        """Write to the connection that the request arrived on."""
         self._connection = connection
         self._started = False
         self._finished = False
 
     @property
     def started(self) -> bool:
-        """Tell whether the head has been sent."""
+        """Return whether sending the head has begun."""
         return self._started
 
     @property
     def finished(self) -> bool:
-        """Tell whether the whole answer has been sent."""
+        """Return whether sending the end of the body has begun."""
         return self._finished
 
     async def send(
@@ -101,7 +109,7 @@
         headers: HeaderList,
         body: bytes,
     ) -> None:
-        """Send a complete answer with its content length."""
+        """Send a complete response, adding its Content-Length."""
         length = ('content-length', str(len(body)))
         events: list[h11.Event] = [self._head(status, (*headers, length))]
         if body:
@@ -111,52 +119,56 @@
         await self._connection.send(*events)
 
     async def start(self, status: int, headers: HeaderList) -> None:
-        """Send the head of a chunked answer."""
+        """Send the head of a response whose body follows in parts.
+
+        Without a Content-Length in ``headers`` the body is chunked.
+        """
         await self._connection.send(self._head(status, headers))
 
     async def send_chunk(self, payload: bytes) -> None:
-        """Send one chunk of the body."""
+        """Send bytes of the body."""
         await self._connection.send(h11.Data(data=payload))
 
     async def finish(self) -> None:
-        """Send the last chunk, which alone makes the answer whole."""
+        """Send the last chunk, without which the response is incomplete."""
         self._finished = True
         await self._connection.send(h11.EndOfMessage())
 
     def _head(self, status: int, headers: HeaderList) -> h11.Response:
         self._started = True
-        closing: HeaderList = ()
+        close_field: HeaderList = ()
         if self._connection.closing:
-            closing = (('connection', 'close'),)
+            close_field = (('connection', 'close'),)
         return h11.Response(
             status_code=status,
-            headers=encode_fields((*headers, *closing)),
+            headers=encode_fields((*headers, *close_field)),
         )
 
 
+#: Handles one request and writes its response.
 Handler = Callable[[HttpRequest, ResponseWriter], Awaitable[None]]
 
 
 class ServerState:
-    """Share between connections whether the server is shutting down."""
+    """Hold what a server's connections share: limits and shutdown state."""
 
     def __init__(self, limits: Callable[[], ServerLimits]) -> None:
-        """Take what gives the limits in force."""
+        """Read the limits from ``limits`` each time, as they may change."""
         self._limits = limits
-        self._closing = trio.Event()
-        self._announced = False
+        self._closed = trio.Event()
+        self._close_announced = False
         self._active = 0
-        self._idle: set[trio.CancelScope] = set()
+        self._idle_scopes: set[trio.CancelScope] = set()
 
     @property
     def limits(self) -> ServerLimits:
-        """Return the limits in force."""
+        """Return the current limits."""
         return self._limits()
 
     @property
     def closing(self) -> bool:
-        """Tell whether connections close after the answer in progress."""
-        return self._announced or self._closing.is_set()
+        """Return whether connections close after their next response."""
+        return self._close_announced or self._closed.is_set()
 
     @property
     def active(self) -> int:
@@ -164,39 +176,47 @@
         return self._active
 
     def add_active(self, change: int) -> None:
-        """Count a request in or out."""
+        """Add ``change`` to the number of requests in progress."""
         self._active += change
 
     def announce_close(self) -> None:
-        """Let connections end with their next answer, idle ones stay."""
-        self._announced = True
+        """Close each connection after its next response.
+
+        Idle connections stay open until then.
+        """
+        self._close_announced = True
 
     def close(self) -> None:
-        """Let every connection end after its next answer, kept ones now."""
-        self._closing.set()
-        for scope in self._idle:
+        """Close each connection after its next response, reused idle ones now.
+
+        A connection that has served a request and waits for another is closed
+        at once; one that has served none may still send its first.
+        """
+        self._closed.set()
+        for scope in self._idle_scopes:
             scope.cancel()
 
     @contextmanager
-    def idle(self, *, kept: bool) -> Iterator[None]:
-        """Give a scope that ends in time.
+    def idle_timeout(self, *, reused: bool) -> Iterator[None]:
+        """Leave the block after the idle timeout.
 
-        That of a kept connection also ends when the server closes; on a new
-        one a request may be on its way.
+        On a reused connection, one that has served a request, the block is
+        also left when the server closes; on a new one a first request may be
+        on its way.
         """
         with move_on_after(self.limits.idle_timeout_ms) as scope:
-            if kept:
-                self._idle.add(scope)
-            if kept and self._closing.is_set():
+            if reused:
+                self._idle_scopes.add(scope)
+            if reused and self._closed.is_set():
                 scope.cancel()
             try:
                 yield
             finally:
-                self._idle.discard(scope)
+                self._idle_scopes.discard(scope)
 
     async def wait_until_closing(self) -> None:
-        """Return once the server is shutting down."""
-        await self._closing.wait()
+        """Wait until ``close`` is called; an announced close does not count."""
+        await self._closed.wait()
 
 
 class _Connection:
@@ -207,8 +227,8 @@
             h11.SERVER,
             max_incomplete_event_size=state.limits.max_header_bytes,
         )
-        self._pipelined = 0
-        self._kept = False
+        self._pipelined_bytes = 0
+        self._reused = False
 
     @property
     def closing(self) -> bool:
@@ -227,11 +247,11 @@
             await self._receive()
 
     async def read_request(self) -> HttpRequest | int | None:
-        """Return a request, the status that refuses it, or None at the end."""
+        """Return a request, the status that refuses it, or None without one."""
         head = await self._read_head()
         if head is None or isinstance(head, int):
             return head
-        # The parser bounds only heads that arrive in more than one piece.
+        # The parser bounds only heads that arrive in more than one read.
         limits = self._state.limits
         if sum(map(_field_length, head.headers)) > limits.max_header_bytes:
             return _HTTP_HEADERS_TOO_LARGE
@@ -239,38 +259,42 @@
             return await self._read_body(head)
         return _HTTP_TIMEOUT
 
-    async def watch(self, scope: trio.CancelScope) -> None:
-        """Cancel the scope once the caller has closed its side."""
-        while self._pipelined < _MAX_PIPELINED_BYTES:
+    async def watch_disconnect(self, scope: trio.CancelScope) -> None:
+        """Cancel the scope once the caller has closed its side.
+
+        Pipelined requests are buffered meanwhile. Once they exceed their
+        bound, nothing is read and a disconnect is not noticed.
+        """
+        while self._pipelined_bytes < _MAX_PIPELINED_BYTES:
             try:
                 received = await self._stream.receive_some(READ_BYTES)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
                 received = b''
             self._parser.receive_data(bytes(received))
-            self._pipelined += len(received)
+            self._pipelined_bytes += len(received)
             if not received:
                 scope.cancel()
                 return
 
     def start_next(self) -> bool:
-        """Make ready for another request, if the connection may go on."""
+        """Prepare for the next request; return False if there can be none."""
         done = self._parser.our_state is h11.DONE
         if not done or self._parser.their_state is not h11.DONE:
             return False
         self._parser.start_next_cycle()
-        self._pipelined = 0
-        self._kept = True
+        self._pipelined_bytes = 0
+        self._reused = True
         return True
 
     async def _read_head(self) -> h11.Request | int | None:
-        """Return a head, the status that refuses it, or None at the end."""
+        """Return a head, the status that refuses it, or None without one."""
         event: _ParserEvent | None = None
         timeout_ms = self._state.limits.header_timeout_ms
-        with self._state.idle(kept=self._kept):
+        with self._state.idle_timeout(reused=self._reused):
             if timeout_ms is None:
                 event = await self.next_event()
             else:
-                event = await self._begin_head()
+                event = await self._receive_first_bytes()
         if event is h11.NEED_DATA and timeout_ms is not None:
             with move_on_after(timeout_ms):
                 event = await self.next_event()
@@ -278,8 +302,11 @@
             return _HTTP_TIMEOUT
         return event if isinstance(event, h11.Request) else None
 
-    async def _begin_head(self) -> _ParserEvent:
-        """Return what the first bytes of a head make."""
+    async def _receive_first_bytes(self) -> _ParserEvent:
+        """Return the parser's event after at most one read.
+
+        The event is NEED_DATA where the head is not complete then.
+        """
         event = self._parser.next_event()
         if event is h11.NEED_DATA:
             await self._receive()
@@ -287,14 +314,16 @@
         return event
 
     async def _receive(self) -> bytes:
+        """Read once into the parser, sending a due 100 Continue first."""
         if self._parser.they_are_waiting_for_100_continue:
-            go_ahead = h11.InformationalResponse(status_code=100, headers=[])
-            await self.send(go_ahead)
+            interim = h11.InformationalResponse(status_code=100, headers=[])
+            await self.send(interim)
         received = bytes(await self._stream.receive_some(READ_BYTES))
         self._parser.receive_data(received)
         return received
 
     async def _read_body(self, head: h11.Request) -> HttpRequest | int:
+        """Return the complete request, or the status that refuses it."""
         body = bytearray()
         while True:
             event = await self.next_event()
@@ -308,8 +337,8 @@
             head.method.decode('ascii'),
             head.target.decode('latin-1'),
             tuple(
-                (name.decode('latin-1'), text.decode('latin-1'))
-                for name, text in head.headers
+                (name.decode('latin-1'), field_value.decode('latin-1'))
+                for name, field_value in head.headers
             ),
             bytes(body),
         )
@@ -324,21 +353,21 @@
     handler: Handler,
     state: ServerState,
 ) -> None:
-    """Answer the requests of one connection, in order, until it ends."""
+    """Serve the requests of one connection, in order, until it ends."""
     connection = _Connection(stream, state)
     async with stream:
         try:
-            await _serve(connection, handler, state)
-        except* _BROKEN as group:
-            _log.debug('connection broke', cause=str(group.exceptions[0]))
+            await _serve_requests(connection, handler, state)
+        except* _CONNECTION_ERRORS as group:
+            _log.debug('connection failed', cause=str(group.exceptions[0]))
         except* InvariantError:
             raise
         except* Exception as group:
-            # One connection's failure must not disturb the others.
+            # A failure on one connection must not affect the others.
             _log.error('handler failed', exc_info=group)
 
 
-async def _serve(
+async def _serve_requests(
     connection: _Connection,
     handler: Handler,
     state: ServerState,
@@ -347,36 +376,41 @@
         try:
             request = await connection.read_request()
         except h11.RemoteProtocolError as error:
-            await _refuse(connection, error.error_status_hint)
+            await _send_refusal(connection, error.error_status_hint)
             return
         if isinstance(request, int):
-            await _refuse(connection, request)
+            await _send_refusal(connection, request)
             return
         if request is None:
             return
         state.add_active(1)
         try:
-            finished = await _answer(connection, handler, request)
+            finished = await _handle_request(connection, handler, request)
         finally:
             state.add_active(-1)
         if not finished or not connection.start_next():
             return
 
 
-async def _answer(
+async def _handle_request(
     connection: _Connection,
     handler: Handler,
     request: HttpRequest,
 ) -> bool:
-    reply = ResponseWriter(connection)
+    """Run the handler until it returns or the caller disconnects.
+
+    Return whether the response was finished.
+    """
+    response = ResponseWriter(connection)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(connection.watch, nursery.cancel_scope)
-        await handler(request, reply)
+        nursery.start_soon(connection.watch_disconnect, nursery.cancel_scope)
+        await handler(request, response)
         nursery.cancel_scope.cancel()
-    return reply.finished
+    return response.finished
 
 
-async def _refuse(connection: _Connection, status: int) -> None:
+async def _send_refusal(connection: _Connection, status: int) -> None:
+    """Refuse a request that no handler has seen, and announce the close."""
     body = b'{"title":"request refused","status":%d,"outcome":"not-run"}'
     headers = (
         ('content-type', 'application/problem+json'),
