--- a/src/amaranthrail/adapters/dial.py
+++ b/src/amaranthrail/adapters/dial.py
@@ -1,4 +1,4 @@
-"""Open connections to peers, with mutual TLS where it is set."""
+"""Open connections to peers, over mutual TLS where it is configured."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 async def dial(address: Address, tls: ssl.SSLContext | None) -> trio.abc.Stream:
-    """Return a stream to a peer.
+    """Return an open stream to a peer, its TLS handshake completed.
 
-    Raises ConnectionRefusedError where nobody listens, and OSError,
-    trio.TooSlowError or trio.BrokenResourceError on other failures.
+    Raises ConnectionRefusedError where nothing listens at the address, and
+    OSError, trio.TooSlowError or trio.BrokenResourceError on other failures.
     """
     with trio.fail_after(HANDSHAKE_TIMEOUT_S):
         try:
             stream = await trio.open_tcp_stream(address.host, address.port)
         except OSError as error:
-            raise _innermost(error) from error
+            raise _underlying_error(error) from error
         if tls is None:
             return stream
         secure = trio.SSLStream(stream, tls, server_hostname=address.host)
@@ -28,8 +28,8 @@
         return secure
 
 
-def _innermost(error: OSError) -> OSError:
-    """Return the cause under trio's summary of all addresses tried."""
+def _underlying_error(error: OSError) -> OSError:
+    """Return the error of one address from trio's error for all of them."""
     cause = error.__cause__
     if isinstance(cause, ExceptionGroup):
         cause = cause.exceptions[0]
--- a/src/amaranthrail/adapters/httpclient.py
+++ b/src/amaranthrail/adapters/httpclient.py
@@ -165,7 +165,7 @@
         tls: ssl.SSLContext | None = None,
         connect_timeout_ms: float = CONNECT_TIMEOUT_MS,
     ) -> None:
-        """Connect to ``address``, over TLS where a context is given.
+        """Call the server at ``address``, over TLS where a context is given.
 
         ``connect_timeout_ms`` bounds the TLS handshake too.
         """
--- a/src/amaranthrail/adapters/link.py
+++ b/src/amaranthrail/adapters/link.py
@@ -1,4 +1,4 @@
-"""Exchange frames over one connection between two of our processes."""
+"""Exchange frames over an authenticated connection between processes."""
 
 from __future__ import annotations
 
@@ -21,41 +21,46 @@
 )
 from ..types import Millis
 
+#: Time for opening a connection to a peer, TLS included, and again for the
+#: handshake that proves the peer key.
 HANDSHAKE_TIMEOUT_S = 2.0
+#: Largest frame accepted until the peer has proved that it knows the peer key.
 MAX_HANDSHAKE_BYTES = 4096
+#: Most bytes taken from a stream by one read.
 _READ_BYTES = 65_536
 _NONCE_BYTES = 24
+#: Encoded frames that may wait for the writer task; more end the connection.
 _MAX_OUTBOX_BYTES = 16_777_216
 
 
 class LinkClosedError(Exception):
-    """Report that the connection has ended."""
+    """Report that a connection was closed, failed or stopped delivering."""
 
 
 class Link:
-    """Send and receive frames; sending never waits.
+    """Send and receive frames on one stream; queuing a frame never blocks.
 
-    A writer task sends whatever has gathered in one piece, so that many small
+    A writer task sends all queued frames in one write, so that many small
     frames cost one system call.
     """
 
     def __init__(self, stream: trio.abc.Stream, clock: Clock) -> None:
-        """Take the open stream."""
+        """Use an open stream; frames are limited to MAX_HANDSHAKE_BYTES."""
         self._stream = stream
         self._clock = clock
         self._decoder = FrameDecoder(MAX_HANDSHAKE_BYTES)
         self._received: deque[AnyFrame] = deque()
         self._outbox = bytearray()
         self._wake = trio.Event()
-        self._heard_at = clock.now()
+        self._received_at = clock.now()
 
     @property
-    def silent_ms(self) -> Millis:
-        """Return for how long nothing has been received."""
-        return Millis(self._clock.now() - self._heard_at)
+    def ms_since_receive(self) -> Millis:
+        """Return the time since bytes were last received."""
+        return Millis(self._clock.now() - self._received_at)
 
     def allow_full_frames(self) -> None:
-        """Accept frames of full size from now on."""
+        """Accept frames up to the full size, from an authenticated peer."""
         self._decoder = FrameDecoder()
 
     def enqueue(self, frame: Frame) -> None:
@@ -64,7 +69,10 @@
         self._wake.set()
 
     async def run_writer(self) -> None:
-        """Send queued frames until the connection ends."""
+        """Send queued frames until the connection ends.
+
+        Raises LinkClosedError, also where too many bytes are queued.
+        """
         while True:
             await self._wake.wait()
             self._wake = trio.Event()
@@ -73,7 +81,7 @@
             await self.flush()
 
     async def flush(self) -> None:
-        """Send what has been queued."""
+        """Send the queued frames. Raises LinkClosedError."""
         payload = bytes(self._outbox)
         self._outbox.clear()
         try:
@@ -93,21 +101,25 @@
                 raise LinkClosedError('peer broke off') from error
             if not received:
                 raise LinkClosedError('peer closed')
-            self._heard_at = self._clock.now()
+            self._received_at = self._clock.now()
             self._received.extend(self._decoder.feed(bytes(received)))
         return self._received.popleft()
 
-    async def watch_liveness(self, bound_ms: float) -> None:
-        """Raise LinkClosedError once the peer has been silent too long."""
+    async def watch_liveness(self, timeout_ms: float) -> None:
+        """Raise LinkClosedError once nothing arrives for ``timeout_ms``."""
         while True:
-            left_ms = bound_ms - self.silent_ms
-            if left_ms <= 0:
-                raise LinkClosedError(f'peer silent for {bound_ms:g} ms')
-            await sleep(left_ms)
+            remaining_ms = timeout_ms - self.ms_since_receive
+            if remaining_ms <= 0:
+                raise LinkClosedError(f'peer silent for {timeout_ms:g} ms')
+            await sleep(remaining_ms)
 
 
 def handshake_proof(peer_key: bytes, nonce: bytes, role: bytes) -> bytes:
-    """Return the proof that its maker knows the peer key."""
+    """Return the HMAC-SHA256 that proves knowledge of the peer key.
+
+    ``role`` is the name of the frame that carries it, so that a proof of one
+    side cannot be replayed as that of the other.
+    """
     return hmac.digest(peer_key, role + nonce, 'sha256')
 
 
@@ -116,10 +128,11 @@
     peer_key: bytes,
     hello: Hello,
 ) -> Welcome:
-    """Connect to a listening peer: prove the key and have it proved.
+    """Authenticate to a listening peer, then authenticate the peer.
 
     ``hello`` is sent with its proof and nonce filled in. Raises FrameError
-    where the peer does not know the key.
+    where the peer does not know the peer key or sends an unexpected frame, and
+    LinkClosedError where it closes the connection.
     """
     challenge = await link.receive()
     if not isinstance(challenge, Challenge):
@@ -148,10 +161,11 @@
 async def server_handshake(
     link: Link, peer_key: bytes, welcome: Welcome
 ) -> Hello:
-    """Accept a connecting peer: have the key proved, then prove it.
+    """Authenticate a connecting peer, then authenticate to it.
 
     ``welcome`` is sent with its proof filled in. Raises FrameError where the
-    peer does not know the key.
+    peer does not know the peer key or sends an unexpected frame, and
+    LinkClosedError where it closes the connection.
     """
     nonce = secrets.token_bytes(_NONCE_BYTES)
     link.enqueue(Challenge(nonce))
--- a/src/amaranthrail/adapters/listen.py
+++ b/src/amaranthrail/adapters/listen.py
@@ -1,4 +1,4 @@
-"""Open listeners, with TLS where it is set."""
+"""Open listeners and serve TLS on them where it is configured."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 from ..exceptions import SettingError
 from .httpclient import Address
 
+#: Time for the TLS handshake of an accepted connection.
 _HANDSHAKE_TIMEOUT_S = 5.0
 
 StreamHandler = Callable[[trio.abc.Stream], Awaitable[None]]
@@ -19,7 +20,10 @@
     address: Address,
     setting: str,
 ) -> list[trio.SocketListener]:
-    """Return listeners on an address; ``setting`` names it in the error."""
+    """Return listeners on an address.
+
+    Raises SettingError, which names ``setting``, where it cannot be bound.
+    """
     try:
         return await trio.open_tcp_listeners(address.port, host=address.host)
     except OSError as error:
@@ -34,7 +38,11 @@
     handler: StreamHandler,
     tls: ssl.SSLContext | None,
 ) -> StreamHandler:
-    """Return the handler that speaks TLS first, if there is a context."""
+    """Return a handler that completes a TLS handshake before ``handler`` runs.
+
+    A connection whose handshake fails or takes too long is closed. Without a
+    TLS context ``handler`` itself is returned.
+    """
     if tls is None:
         return handler
 
