--- a/src/amaranthrail/adapters/__init__.py
+++ b/src/amaranthrail/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""Connect the product's ports to protocols."""
+"""Speak HTTP, TLS and the peer protocol, and implement ports over them."""
--- a/src/amaranthrail/adapters/messages.py
+++ b/src/amaranthrail/adapters/messages.py
@@ -1,14 +1,14 @@
-"""Send and receive whole messages on a stream, a length in front of each."""
+"""Send and receive length-prefixed messages on a stream."""
 
 from __future__ import annotations
 
 import trio
 
-#: Bytes of a message's length, big-endian.
+#: Size of the big-endian length in front of each message.
 LENGTH_BYTES = 4
-#: Bytes that one message may have: a configuration of 4 MB and all upstreams.
+#: Largest message: a configuration of 4 MB and the records of all upstreams.
 MAX_MESSAGE_BYTES = 8 * 1024 * 1024
-#: What a broken or misused stream raises.
+#: What a failed stream or a malformed message raises.
 STREAM_ERRORS = (
     OSError,
     trio.BrokenResourceError,
@@ -18,7 +18,7 @@
 
 
 async def send_message(stream: trio.abc.Stream, payload: bytes) -> None:
-    """Send one message."""
+    """Send a message with its length in front."""
     length = len(payload).to_bytes(LENGTH_BYTES, 'big')
     await stream.send_all(length + payload)
 
@@ -26,28 +26,30 @@
 async def receive_message(stream: trio.abc.Stream) -> bytes | None:
     """Return the next message, None where the stream ends before it.
 
-    Raises ValueError where it ends within a message or the message is too
-    large. Only one message is in flight each way.
+    Raises ValueError where the stream ends within a message or the message is
+    too large. Only one message may be in flight each way: bytes after a message
+    are taken for a part of it.
     """
     received = bytes(await stream.receive_some())
     if not received:
         return None
-    received = await _fill(stream, received, LENGTH_BYTES)
+    received = await _receive_until(stream, received, LENGTH_BYTES)
     length = int.from_bytes(received[:LENGTH_BYTES], 'big')
     if length > MAX_MESSAGE_BYTES:
-        raise ValueError(f'message has {length} bytes')
-    received = await _fill(stream, received, LENGTH_BYTES + length)
+        raise ValueError(f'message of {length} bytes is too large')
+    received = await _receive_until(stream, received, LENGTH_BYTES + length)
     return received[LENGTH_BYTES:]
 
 
-async def _fill(
+async def _receive_until(
     stream: trio.abc.Stream,
     received: bytes,
-    wanted: int,
+    size: int,
 ) -> bytes:
-    while len(received) < wanted:
-        part = await stream.receive_some()
-        if not part:
-            raise ValueError('message is cut')
-        received += part
+    """Return ``received`` and further bytes, at least ``size`` in all."""
+    while len(received) < size:
+        chunk = await stream.receive_some()
+        if not chunk:
+            raise ValueError('stream ended within a message')
+        received += chunk
     return received
--- a/src/amaranthrail/adapters/platform.py
+++ b/src/amaranthrail/adapters/platform.py
@@ -1,4 +1,4 @@
-"""Reach the platform's log service and host list over HTTP."""
+"""Call the platform's log service and host list over HTTP."""
 
 from __future__ import annotations
 
@@ -13,8 +13,11 @@
 from ..types import DomainName, Offset, ServiceName, UpstreamName
 from .httpclient import Address, HttpClient, HttpResponse
 
+#: Time for the response to an append.
 APPEND_TIMEOUT_MS = 1000
+#: Time for the response to a read beyond the wait that the read asks for.
 _READ_MARGIN_MS = 1500
+#: Time for the response with the host list.
 _HOSTS_TIMEOUT_MS = 1000
 _HTTP_OK = 200
 
@@ -52,31 +55,34 @@
     """Implement LogPort over the platform's HTTP interface."""
 
     def __init__(self, address: Address) -> None:
-        """Take the address of the log service."""
+        """Call the log service at ``address``.
+
+        Appends have a client of their own, apart from reads, which may wait.
+        """
         self._appends = HttpClient(address)
         self._reads = HttpClient(address)
 
     async def append(self, stream: str, text: bytes) -> Offset:
-        """Append a record; see LogPort."""
-        answer = await _call(
+        """Append a record and return its offset; see LogPort."""
+        response = await _call(
             self._appends,
             'POST',
             f'/log/{stream}',
             text,
             APPEND_TIMEOUT_MS,
         )
-        return Offset(_decode(answer.body, _WireAppend).offset)
+        return Offset(_decode(response.body, _WireAppend).offset)
 
     async def read(self, stream: str, after: int, wait_ms: int) -> LogBatch:
-        """Read records above an offset; see LogPort."""
-        answer = await _call(
+        """Return the records above an offset; see LogPort."""
+        response = await _call(
             self._reads,
             'GET',
             f'/log/{stream}?after={after}&wait_ms={wait_ms}',
             b'',
             wait_ms + _READ_MARGIN_MS,
         )
-        batch = _decode(answer.body, _WireBatch)
+        batch = _decode(response.body, _WireBatch)
         return LogBatch(
             Offset(batch.first),
             tuple(
@@ -95,26 +101,26 @@
     """Implement HostListPort over the platform's HTTP interface."""
 
     def __init__(self, address: Address) -> None:
-        """Take the address of the host list."""
+        """Call the host list service at ``address``."""
         self._client = HttpClient(address)
 
     async def hosts(self) -> tuple[HostRecord, ...] | None:
-        """Return the listed hosts, or None; see HostListPort."""
+        """Return the listed hosts, None where unavailable; see HostListPort."""
         try:
-            answer = await _call(
+            response = await _call(
                 self._client,
                 'GET',
                 '/hosts',
                 b'',
                 _HOSTS_TIMEOUT_MS,
             )
-            wire = _decode(answer.body, list[_WireHost])
+            wire = _decode(response.body, list[_WireHost])
         except LogUnavailableError:
             return None
-        return tuple(_host(entry) for entry in wire)
+        return tuple(_to_host_record(host) for host in wire)
 
 
-def _host(wire: _WireHost) -> HostRecord:
+def _to_host_record(wire: _WireHost) -> HostRecord:
     return HostRecord(
         UpstreamName(wire.upstream),
         ServiceName(wire.service),
@@ -134,30 +140,32 @@
     body: bytes,
     timeout_ms: int,
 ) -> HttpResponse:
-    answer: HttpResponse | None = None
+    """Return a response of status 200. Raises LogUnavailableError."""
+    response: HttpResponse | None = None
     try:
         with move_on_after(timeout_ms):
-            answer = await client.call(method, target, body=body)
+            response = await client.call(method, target, body=body)
     except HttpError as error:
         raise LogUnavailableError(
             f'platform at {client.address}: {error}',
         ) from error
-    if answer is None:
+    if response is None:
         raise LogUnavailableError(
-            f'platform at {client.address}: no answer within '
+            f'platform at {client.address}: no response within '
             f'{timeout_ms / MS_PER_SECOND:g} s',
         )
-    if answer.status != _HTTP_OK:
+    if response.status != _HTTP_OK:
         raise LogUnavailableError(
-            f'platform at {client.address}: status {answer.status}',
+            f'platform at {client.address}: status {response.status}',
         )
-    return answer
+    return response
 
 
 def _decode(body: bytes, kind: type[_Wire]) -> _Wire:
+    """Decode a JSON body. Raises LogUnavailableError where it is invalid."""
     try:
         return msgspec.json.decode(body, type=kind)
     except msgspec.DecodeError as error:
         raise LogUnavailableError(
-            f'platform sent no valid answer: {error}',
+            f'platform sent an invalid response: {error}',
         ) from error
--- a/src/amaranthrail/adapters/probes.py
+++ b/src/amaranthrail/adapters/probes.py
@@ -1,4 +1,4 @@
-"""Answer what platforms and collectors ask of every process."""
+"""Serve the liveness, readiness and metrics endpoints of every process."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 _METRICS_TYPE = ('content-type', 'text/plain; version=0.0.4')
 
 
-async def send_liveness(reply: ResponseWriter) -> None:
-    """Say that the process answers."""
-    await send_json(reply, _OK, {'alive': True})
+async def send_liveness(response: ResponseWriter) -> None:
+    """Send status 200, which shows that the process is live."""
+    await send_json(response, _OK, {'alive': True})
 
 
-async def send_readiness(reply: ResponseWriter, *, ready: bool) -> None:
-    """Say by the status whether the process takes new work."""
+async def send_readiness(response: ResponseWriter, *, ready: bool) -> None:
+    """Send status 200 where the process accepts new work, else 503."""
     status = _OK if ready else _UNAVAILABLE
-    await send_json(reply, status, {'ready': ready})
+    await send_json(response, status, {'ready': ready})
 
 
-async def send_metrics(reply: ResponseWriter, metrics: Metrics) -> None:
+async def send_metrics(response: ResponseWriter, metrics: Metrics) -> None:
     """Send all metrics in Prometheus text format.
 
-    The module that writes them is imported in a thread: it takes longer than
-    streams may pause.
+    The exposition module is imported in a thread, because importing it takes
+    longer than streams may pause.
     """
     exposition = await trio.to_thread.run_sync(
         import_module,
         '..exposition',
         __package__,
     )
-    await reply.send(_OK, (_METRICS_TYPE,), exposition.metrics_text(metrics))
+    await response.send(_OK, (_METRICS_TYPE,), exposition.metrics_text(metrics))
--- a/src/amaranthrail/adapters/problem.py
+++ b/src/amaranthrail/adapters/problem.py
@@ -1,4 +1,4 @@
-"""Write refusals as RFC 9457 problem details."""
+"""Send refusals as RFC 9457 problem details, and other JSON."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 
 async def send_refusal(
-    reply: ResponseWriter,
+    response: ResponseWriter,
     refusal: Refusal,
     headers: HeaderList = (),
 ) -> None:
-    """Send a refusal with its outcome, its reason and when to try again.
+    """Send a refusal with its outcome, its reason and a Retry-After.
 
-    ``headers`` may state the time to try again in a form of their own.
+    A Retry-After in ``headers`` takes the place of the one computed here.
     """
     problem = _Problem(
         f'urn:amaranthrail:{refusal.reason.value}',
@@ -46,11 +46,11 @@
         ('content-type', 'application/problem+json'),
         ('x-outcome', refusal.outcome.value),
     ]
-    is_stated = any(name == 'retry-after' for name, _ in headers)
-    if refusal.retry_after_ms is not None and not is_stated:
+    has_retry_after = any(name == 'retry-after' for name, _ in headers)
+    if refusal.retry_after_ms is not None and not has_retry_after:
         seconds = math.ceil(refusal.retry_after_ms / MS_PER_SECOND)
         fields.append(('retry-after', str(seconds)))
-    await reply.send(
+    await response.send(
         refusal.status,
         (*fields, *headers),
         msgspec.json.encode(problem),
@@ -58,7 +58,7 @@
 
 
 async def send_json(
-    reply: ResponseWriter, status: int, content: object
+    response: ResponseWriter, status: int, content: object
 ) -> None:
-    """Send any JSON-able content."""
-    await reply.send(status, (JSON_TYPE,), msgspec.json.encode(content))
+    """Send content that msgspec can encode as JSON."""
+    await response.send(status, (JSON_TYPE,), msgspec.json.encode(content))
--- a/src/amaranthrail/adapters/rankengine.py
+++ b/src/amaranthrail/adapters/rankengine.py
@@ -1,4 +1,4 @@
-"""Order one rank's engine over HTTP and fetch weights for it."""
+"""Send orders to one rank's engine and fetch its weights, over HTTP."""
 
 from __future__ import annotations
 
@@ -11,7 +11,9 @@
 from ..ports import EngineState
 from .httpclient import Address, HttpClient, HttpResponse
 
+#: Time for the engine's response to an order or a state query.
 ORDER_TIMEOUT_MS = 800
+#: Time for fetching one expert's weights.
 WEIGHTS_TIMEOUT_MS = 60_000
 _HTTP_OK = 200
 
@@ -20,16 +22,16 @@
     """Implement RankEnginePort over the engine's HTTP interface."""
 
     def __init__(self, address: Address) -> None:
-        """Take the engine's address."""
+        """Call the engine at ``address``."""
         self._client = HttpClient(address)
 
     async def state(self) -> EngineState | None:
-        """Return the engine's state; see RankEnginePort."""
-        answer = await _call(self._client, 'GET', '/group', ORDER_TIMEOUT_MS)
-        if answer is None:
+        """Return the engine's state or None; see RankEnginePort."""
+        response = await _call(self._client, 'GET', '/group', ORDER_TIMEOUT_MS)
+        if response is None:
             return None
         try:
-            return msgspec.json.decode(answer.body, type=EngineState)
+            return msgspec.json.decode(response.body, type=EngineState)
         except msgspec.DecodeError:
             return None
 
@@ -40,8 +42,8 @@
         from_step: int,
         ranks: tuple[int, ...],
     ) -> bool:
-        """Arm a map; see RankEnginePort."""
-        return await self._order(
+        """Arm an expert map for a step; see RankEnginePort."""
+        return await self._send_order(
             'arm',
             fence=fence,
             version=version,
@@ -50,37 +52,38 @@
         )
 
     async def release(self, fence: int, version: int) -> bool:
-        """Let an armed map come into use; see RankEnginePort."""
-        return await self._order('release', fence=fence, version=version)
+        """Release an armed expert map into use; see RankEnginePort."""
+        return await self._send_order('release', fence=fence, version=version)
 
     async def cancel(self, fence: int, version: int) -> bool:
-        """Drop an armed map; see RankEnginePort."""
-        return await self._order('cancel', fence=fence, version=version)
+        """Cancel an armed expert map; see RankEnginePort."""
+        return await self._send_order('cancel', fence=fence, version=version)
 
-    async def _order(self, name: str, **fields: Any) -> bool:
-        answer = await _call(
+    async def _send_order(self, name: str, **fields: Any) -> bool:
+        """Return whether the engine accepted the order."""
+        response = await _call(
             self._client,
             'POST',
             f'/group/{name}',
             ORDER_TIMEOUT_MS,
             msgspec.json.encode(fields),
         )
-        return answer is not None
+        return response is not None
 
 
 class HttpWeightStore:
     """Implement WeightStorePort over the platform's HTTP interface."""
 
     def __init__(self, address: Address, group: str) -> None:
-        """Take the store's address and whose weights are fetched."""
+        """Call the store at ``address`` for the weights of ``group``."""
         self._client = HttpClient(address)
         self._group = group
 
     async def fetch(self, expert: int) -> bool:
-        """Fetch one expert's weights; see WeightStorePort."""
+        """Fetch one expert's weights; return whether they arrived."""
         target = f'/weights/{self._group}/{expert}'
-        answer = await _call(self._client, 'GET', target, WEIGHTS_TIMEOUT_MS)
-        return answer is not None
+        response = await _call(self._client, 'GET', target, WEIGHTS_TIMEOUT_MS)
+        return response is not None
 
 
 async def _call(
@@ -90,11 +93,11 @@
     timeout_ms: float,
     body: bytes = b'',
 ) -> HttpResponse | None:
-    """Return a successful answer, None for any other or none in time."""
+    """Return a response of status 200, None for any other or none in time."""
     with move_on_after(timeout_ms):
         try:
-            answer = await client.call(method, target, body=body)
+            response = await client.call(method, target, body=body)
         except HttpError:
             return None
-        return answer if answer.status == _HTTP_OK else None
+        return response if response.status == _HTTP_OK else None
     return None
