--- a/tests/client.py
+++ b/tests/client.py
@@ -1,4 +1,4 @@
-"""Make callers' requests against a fleet."""
+"""Send requests to a fleet as its callers do."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 
 
 def auth_headers(fleet: Fleet, number: int = 0) -> dict[str, str]:
+    """Return the credentials of one of the fleet's organisations."""
     return {'Authorization': f'Bearer {fleet.token(number)}'}
 
 
@@ -20,7 +21,11 @@
     tokens: int = 5,
     **extra: object,
 ) -> Answer:
-    order = {
+    """Request a chat completion, streamed unless ``extra`` has another value.
+
+    ``extra`` replaces or adds fields of the request's body.
+    """
+    completion = {
         'model': fleet.deployment.model,
         'messages': [{'role': 'user', 'content': prompt}],
         'max_tokens': tokens,
@@ -31,7 +36,7 @@
         entry.url,
         'POST',
         '/v1/chat/completions',
-        order,
+        completion,
         auth_headers(fleet),
     )
 
@@ -45,6 +50,10 @@
     headers: dict[str, str] | None = None,
     timeout: float = 30,
 ) -> Answer:
+    """Send a non-idempotent request with an idempotency key.
+
+    ``number`` is that of the organisation; ``timeout`` is in seconds.
+    """
     _, method, path, _ = fleet.deployment.operations[0]
     return http_call(
         entry.url,
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Refuse bad input clearly, and let nobody else notice."""
+"""Test that bad input is refused and does not affect other requests."""
 
 from __future__ import annotations
 
@@ -42,14 +42,14 @@
     status: int,
     reason: str | None,
 ) -> None:
-    answer = http_call(
+    response = http_call(
         fleet.entries[0].url, method, path, body, auth_headers(fleet)
     )
-    assert answer.status == status
-    assert answer.headers['x-outcome'] == 'not-run'
-    assert answer.headers['content-type'] == 'application/problem+json'
+    assert response.status == status
+    assert response.headers['x-outcome'] == 'not-run'
+    assert response.headers['content-type'] == 'application/problem+json'
     if reason:
-        assert answer.json()['reason'] == reason
+        assert response.json()['reason'] == reason
     assert request_completion(fleet, fleet.entries[0], 'after').status == 200
 
 
@@ -68,9 +68,11 @@
 def test_bad_field(fleet: Fleet, fields: dict[str, str], status: int) -> None:
     headers = {**auth_headers(fleet), **fields}
     entry = fleet.entries[0]
-    answer = http_call(entry.url, 'GET', '/sportello/orders/1', headers=headers)
-    assert answer.status == status
-    assert answer.headers['x-outcome'] == 'not-run'
+    response = http_call(
+        entry.url, 'GET', '/sportello/orders/1', headers=headers
+    )
+    assert response.status == status
+    assert response.headers['x-outcome'] == 'not-run'
 
 
 BAD_BYTES = [
@@ -88,7 +90,7 @@
     assert received.startswith(f'HTTP/1.1 {status} '.encode())
 
 
-def test_body_shorter_than_declared_runs_nothing(fleet: Fleet) -> None:
+def test_truncated_body_is_not_executed(fleet: Fleet) -> None:
     head = (
         'POST /sportello/orders HTTP/1.1\r\nhost: a\r\n'
         f'authorization: Bearer {fleet.token()}\r\n'
@@ -110,11 +112,13 @@
         for number in (1, 2, 3)
     )
     received = send_raw(fleet.entries[0], requests.encode()).decode()
-    places = [received.index(f'/sportello/orders/{one}') for one in (1, 2, 3)]
-    assert places == sorted(places)
+    offsets = [
+        received.index(f'/sportello/orders/{number}') for number in (1, 2, 3)
+    ]
+    assert offsets == sorted(offsets)
 
 
-def test_reset_connections_disturb_nobody(fleet: Fleet) -> None:
+def test_garbage_connections_do_not_stop_the_entry(fleet: Fleet) -> None:
     for _ in range(20):
         send_raw(fleet.entries[0], b'\x16\x03\x01garbage', close=True)
     assert (
@@ -123,26 +127,26 @@
     assert fleet.entries[0].child.running
 
 
-def test_claimed_organisation_changes_nothing(fleet: Fleet) -> None:
-    other = 'organisation-02'
-    claims = {'X-Organisation': other, 'X-Tenant-Id': other}
-    answer = submit_order(fleet, fleet.entries[0], 'claim', headers=claims)
-    assert answer.json()['organisation'] == 'organisation-01'
+def test_organisation_headers_of_callers_are_ignored(fleet: Fleet) -> None:
+    claimed = 'organisation-02'
+    headers = {'X-Organisation': claimed, 'X-Tenant-Id': claimed}
+    response = submit_order(fleet, fleet.entries[0], 'claim', headers=headers)
+    assert response.json()['organisation'] == 'organisation-01'
 
 
-def test_key_belongs_to_its_organisation(fleet: Fleet) -> None:
+def test_key_is_scoped_to_its_organisation(fleet: Fleet) -> None:
     first = submit_order(fleet, fleet.entries[0], 'shared', 0)
     second = submit_order(fleet, fleet.entries[0], 'shared', 1)
     assert first.json()['organisation'] == 'organisation-01'
     assert second.json()['organisation'] == 'organisation-02'
 
 
-def test_key_reused_with_another_body(fleet: Fleet) -> None:
+def test_key_reused_with_another_body_is_refused(fleet: Fleet) -> None:
     submit_order(fleet, fleet.entries[0], 'reused')
     for entry in fleet.entries:
-        answer = submit_order(fleet, entry, 'reused', body={'books': 2})
-        assert answer.status == 422
-        assert answer.json()['reason'] == 'key-reused'
+        response = submit_order(fleet, entry, 'reused', body={'books': 2})
+        assert response.status == 422
+        assert response.json()['reason'] == 'key-reused'
         assert submit_order(fleet, entry, 'reused').status == 200
 
 
@@ -152,7 +156,7 @@
     b'\x91' * 3000,
     b'\xdd\xff\xff\xff\xff',
     b'\xc6\xff\xff\xff\xff' + b'x' * 70_000,
-    # A hello with a wrong proof, then with no proof at all.
+    # A hello frame with a wrong proof, then one without a proof.
     b'\x96\xa5hello\xc4\x02xx\xc4\x02yy\xa1n\xa1i\x01',
     b'\x91\xa5hello',
 ]
@@ -162,7 +166,7 @@
 def test_peer_port_closes_on_garbage(fleet: Fleet, payload: bytes) -> None:
     upstream = fleet.upstreams[0]
     received = send_raw_to(upstream.sidecar_address, payload)
-    # A challenge is all that anybody without the key gets to see.
+    # A peer that does not prove the peer key gets only the challenge.
     assert b'challenge' in received
     assert b'welcome' not in received
     assert upstream.sidecar.running
@@ -172,25 +176,27 @@
 
 
 @pytest.mark.parametrize('path', ADMIN_PATHS)
-def test_administration_needs_its_token(fleet: Fleet, path: str) -> None:
+def test_administration_requires_its_token(fleet: Fleet, path: str) -> None:
     for token in ('', 'Bearer wrong', f'bearer{ADMIN_TOKEN}'):
         headers = {'Authorization': token}
-        answer = http_call(fleet.entries[0].admin, 'GET', path, headers=headers)
-        assert answer.status == 401
+        response = http_call(
+            fleet.entries[0].admin, 'GET', path, headers=headers
+        )
+        assert response.status == 401
 
 
-def test_log_garbage_is_skipped_and_shown(fleet: Fleet) -> None:
+def test_invalid_log_records_are_skipped_and_counted(fleet: Fleet) -> None:
     entry = fleet.entries[0]
-    before = fleet.status(entry)['records_skipped']
-    garbage = [
+    skipped_before = fleet.status(entry)['records_skipped']
+    invalid_records = [
         b'',
         b'nonsense',
         b'{"type":"filings"}',
         json.dumps([1]).encode(),
     ]
-    for text in garbage:
-        http_call(fleet.platform_address, 'POST', '/log/control', text)
-        http_call(fleet.platform_address, 'POST', '/log/filings-0', text)
-    expected = before + 2 * len(garbage)
+    for record in invalid_records:
+        http_call(fleet.platform_address, 'POST', '/log/control', record)
+        http_call(fleet.platform_address, 'POST', '/log/filings-0', record)
+    expected = skipped_before + 2 * len(invalid_records)
     wait_until(lambda: fleet.status(entry)['records_skipped'] == expected)
     assert submit_order(fleet, entry, 'after-garbage').status == 200
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""Serve requests end to end through separate processes."""
+"""Test requests end to end through separate processes."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 from .client import LAST_EVENT, auth_headers, request_completion, submit_order
 
 
-def test_streamed_draft_is_whole(fleet: Fleet) -> None:
-    answer = request_completion(fleet, fleet.entries[0], 'ciao', tokens=6)
-    assert answer.status == 200
-    assert answer.headers['x-outcome'] == 'ran'
+def test_streamed_completion_is_complete(fleet: Fleet) -> None:
+    response = request_completion(fleet, fleet.entries[0], 'ciao', tokens=6)
+    assert response.status == 200
+    assert response.headers['x-outcome'] == 'ran'
     tokens = [token_text('ciao', index) for index in range(6)]
-    events = ''.join(f'data: {{"token":"{one}"}}\n\n' for one in tokens)
-    assert answer.body == events.encode() + LAST_EVENT
+    events = ''.join(f'data: {{"token":"{token}"}}\n\n' for token in tokens)
+    assert response.body == events.encode() + LAST_EVENT
 
 
-def test_plain_draft_is_whole(fleet: Fleet) -> None:
-    answer = request_completion(
+def test_plain_completion_is_complete(fleet: Fleet) -> None:
+    response = request_completion(
         fleet, fleet.entries[1], 'ahoj', tokens=3, stream=False
     )
     tokens = [token_text('ahoj', index) for index in range(3)]
-    assert answer.json()['text'] == ' '.join(tokens)
+    assert response.json()['text'] == ' '.join(tokens)
 
 
-def test_filing_runs_once_and_stands_in_the_log(fleet: Fleet) -> None:
+def test_keyed_request_runs_once_and_is_logged(fleet: Fleet) -> None:
     key = 'path-filing'
     first = submit_order(fleet, fleet.entries[0], key)
-    again = submit_order(fleet, fleet.entries[1], key)
-    assert (first.status, again.status) == (200, 200)
-    assert first.body == again.body
+    retry = submit_order(fleet, fleet.entries[1], key)
+    assert (first.status, retry.status) == (200, 200)
+    assert first.body == retry.body
     runs = [run for run in fleet.runs('sportello') if run['key'] == key]
     assert runs == [
         {
@@ -44,24 +44,25 @@
             'finished': True,
         },
     ]
-    facts = _facts(fleet, f'organisation-01/{key}')
+    facts = _read_facts(fleet, f'organisation-01/{key}')
     assert [fact['fact'] for fact in facts] == ['intent', 'conclusion']
     assert facts[1]['state'] == 'ran'
 
 
-def test_plain_service_passes_through(fleet: Fleet) -> None:
-    answer = http_call(
+def test_idempotent_request_is_forwarded(fleet: Fleet) -> None:
+    response = http_call(
         fleet.entries[0].url,
         'GET',
         '/sportello/orders/17?full=1',
         headers=auth_headers(fleet),
     )
-    assert answer.status == 200
-    assert answer.json()['path'] == '/sportello/orders/17'
+    assert response.status == 200
+    assert response.json()['path'] == '/sportello/orders/17'
 
 
-def _facts(fleet: Fleet, key: str) -> list[dict[str, str]]:
-    found = []
+def _read_facts(fleet: Fleet, key: str) -> list[dict[str, str]]:
+    """Return the facts about a key in all shards of the log, in order."""
+    facts = []
     for shard in range(4):
         batch = http_call(
             fleet.platform_address,
@@ -70,7 +71,7 @@
         ).json()
         for record in batch['records']:
             text = base64.b64decode(record['record'])
-            # Other tests leave records there that do not parse.
+            # Other tests leave records in these streams that do not parse.
             if key.encode() in text:
-                found += json.loads(text)['facts']
-    return [fact for fact in found if fact['key'] == key]
+                facts += json.loads(text)['facts']
+    return [fact for fact in facts if fact['key'] == key]
