--- a/src/amaranthrail/configsync.py
+++ b/src/amaranthrail/configsync.py
@@ -47,7 +47,7 @@
     if runtime.pulls.should_pull(
         heartbeat.manifest_version, heartbeat.drains_version
     ):
-        link.post(ManifestPull())
+        link.enqueue(ManifestPull())
 
 
 def apply_push(runtime: Runtime, push: ManifestPush) -> None:
@@ -82,7 +82,7 @@
     """
     async with trio.open_nursery() as nursery:
         nursery.start_soon(link.run_writer)
-        nursery.start_soon(link.watch_silence, settings.silence_ms)
+        nursery.start_soon(link.watch_liveness, settings.silence_ms)
         nursery.start_soon(
             _send_heartbeats, link, runtime, settings.heartbeat_ms
         )
@@ -94,7 +94,7 @@
     link: Link, runtime: Runtime, interval_ms: float
 ) -> None:
     while True:
-        link.post(heartbeat_without_load(runtime))
+        link.enqueue(heartbeat_without_load(runtime))
         await sleep(interval_ms)
 
 
@@ -107,7 +107,7 @@
         case ManifestPush():
             apply_push(runtime, frame)
         case ManifestPull():
-            link.post(make_push(runtime.configuration))
+            link.enqueue(make_push(runtime.configuration))
         case _:
             return False
     return True
--- a/src/amaranthrail/direct/attempt.py
+++ b/src/amaranthrail/direct/attempt.py
@@ -60,8 +60,8 @@
                 call.request.body,
                 # The upstream may already have closed a pooled connection; it
                 # is then unknown whether it read the request.
-                fresh=not call.route.retryable,
-                patience=relay.make_stall_guard(),
+                new_connection=not call.route.retryable,
+                head_guard=relay.make_stall_guard(),
             ) as exchange:
                 return await self._read_response(
                     call, upstream, relay, exchange
@@ -110,7 +110,7 @@
             )
             self._record_result(upstream, failed=failure is not None)
             return failure
-        async with aclosing(exchange.parts()) as parts:
+        async with aclosing(exchange.body_chunks()) as parts:
             chunks = [part async for part in parts]
         self._record_result(
             upstream,
--- a/src/amaranthrail/direct/callers.py
+++ b/src/amaranthrail/direct/callers.py
@@ -4,7 +4,7 @@
 
 import random
 
-from ..adapters.httpserver import HttpRequest, Reply
+from ..adapters.httpserver import HttpRequest, ResponseWriter
 from ..adapters.problem import send_refusal
 from ..clock import Clock
 from ..outcomes import Reason, Refusal, not_run
@@ -42,7 +42,7 @@
         self._clock = Clock()
         self._random = random.Random()
 
-    async def handle(self, request: HttpRequest, reply: Reply) -> None:
+    async def handle(self, request: HttpRequest, reply: ResponseWriter) -> None:
         """Forward a request, or refuse one that cannot be routed."""
         metadata = self._wire_format.read_request(request)
         call = self._accept(request, metadata)
--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -9,7 +9,7 @@
 import msgspec
 import trio
 
-from ..adapters.httpserver import Reply
+from ..adapters.httpserver import ResponseWriter
 from ..adapters.problem import send_refusal
 from ..clock import Clock, move_on_after
 from ..outcomes import Reason, Refusal, not_run, unknown_outcome
@@ -82,7 +82,7 @@
         self._clock = Clock()
         self._random = random.Random()
 
-    async def forward(self, call: Call, reply: Reply) -> None:
+    async def forward(self, call: Call, reply: ResponseWriter) -> None:
         """Send a call's response or, by its deadline, a refusal."""
         self._retry_budgets.record_call(call.service)
         step_times = self._cluster.directory.step_times(call.service)
@@ -111,7 +111,7 @@
             outcome = _refuse_expired(call)
         self._call_log.record_end(call, outcome, relay.events, relay.timing)
         if isinstance(outcome, BufferedResponse):
-            await reply.whole(outcome.status, outcome.headers, outcome.body)
+            await reply.send(outcome.status, outcome.headers, outcome.body)
         elif isinstance(outcome, Refusal) and not reply.started:
             await send_refusal(reply, outcome, self._refusal_headers(outcome))
 
--- a/src/amaranthrail/direct/relay.py
+++ b/src/amaranthrail/direct/relay.py
@@ -6,7 +6,7 @@
 from contextlib import AbstractContextManager, aclosing
 
 from ..adapters.httpclient import HttpExchange
-from ..adapters.httpserver import Reply
+from ..adapters.httpserver import ResponseWriter
 from ..clock import Clock
 from ..exceptions import HttpError
 from ..types import HeaderList
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        reply: Reply,
+        reply: ResponseWriter,
         last_id: str | None,
         timing: StreamTiming,
         step_times: StepTimes,
@@ -76,7 +76,7 @@
         ``record_activity`` is called for each part that arrives.
         """
         try:
-            async with aclosing(exchange.parts()) as parts:
+            async with aclosing(exchange.body_chunks()) as parts:
                 part = await self._next_part(parts)
                 while part is not None:
                     record_activity()
@@ -128,4 +128,4 @@
             )
         if not self._reply.started:
             await self._reply.start(status, headers)
-        await self._reply.part(events)
+        await self._reply.send_chunk(events)
--- a/src/amaranthrail/direct/service.py
+++ b/src/amaranthrail/direct/service.py
@@ -10,13 +10,13 @@
 from ..adapters.httpserver import (
     Handler,
     HttpRequest,
-    Reply,
+    ResponseWriter,
     ServerLimits,
     ServerState,
     serve_connection,
 )
 from ..adapters.listen import open_listeners
-from ..adapters.probes import send_metrics, send_ready
+from ..adapters.probes import send_metrics, send_readiness
 from ..clock import Clock, move_on_after, sleep
 from ..logs import part_logger
 from ..metrics import Metrics
@@ -227,13 +227,15 @@
         serve = partial(serve_connection, handler=handler, state=state)
         await trio.serve_listeners(serve, listeners)
 
-    async def _answer_probe(self, _request: HttpRequest, reply: Reply) -> None:
-        await send_ready(reply, ready=self.ready)
+    async def _answer_probe(
+        self, _request: HttpRequest, reply: ResponseWriter
+    ) -> None:
+        await send_readiness(reply, ready=self.ready)
 
     async def _answer_metrics(
         self,
         _request: HttpRequest,
-        reply: Reply,
+        reply: ResponseWriter,
     ) -> None:
         await send_metrics(reply, self._metrics)
 
--- a/src/amaranthrail/entry/administration.py
+++ b/src/amaranthrail/entry/administration.py
@@ -11,8 +11,8 @@
 import msgspec
 import trio
 
-from ..adapters.httpserver import HttpRequest, Reply
-from ..adapters.probes import send_alive, send_metrics, send_ready
+from ..adapters.httpserver import HttpRequest, ResponseWriter
+from ..adapters.probes import send_liveness, send_metrics, send_readiness
 from ..adapters.problem import JSON_TYPE, send_json
 from ..configuration import Configuration
 from ..consumer import StreamConsumer
@@ -42,7 +42,7 @@
 _RESOLVE_SUFFIX = '/resolve'
 
 _Order = TypeVar('_Order')
-_Handler = Callable[[HttpRequest, Reply], Awaitable[None]]
+_Handler = Callable[[HttpRequest, ResponseWriter], Awaitable[None]]
 
 
 class _ResolveOrder(msgspec.Struct, forbid_unknown_fields=True):
@@ -85,23 +85,23 @@
             ('POST', '/v1/drain'): self._set_drain,
         }
 
-    async def handle(self, request: HttpRequest, reply: Reply) -> None:
+    async def handle(self, request: HttpRequest, reply: ResponseWriter) -> None:
         """Respond to one request.
 
         Health probes and metrics need no token; everything else does.
         """
         match request.path:
             case '/healthz':
-                await send_alive(reply)
+                await send_liveness(reply)
             case '/readyz':
-                await send_ready(reply, ready=self._context.ready)
+                await send_readiness(reply, ready=self._context.ready)
             case '/metrics':
                 await self._send_metrics(reply)
             case _:
                 await self._handle_authorised(request, reply)
 
     async def _handle_authorised(
-        self, request: HttpRequest, reply: Reply
+        self, request: HttpRequest, reply: ResponseWriter
     ) -> None:
         authorization = request.header('authorization') or ''
         expected = f'Bearer {self._context.settings.admin_token}'
@@ -118,7 +118,7 @@
             return
         await handler(request, reply)
 
-    async def _send_metrics(self, reply: Reply) -> None:
+    async def _send_metrics(self, reply: ResponseWriter) -> None:
         context = self._context
         gauges = {
             'peers_connected': sum(
@@ -137,7 +137,9 @@
             self._runtime.metrics.gauge(name, gauge_value)
         await send_metrics(reply, self._runtime.metrics)
 
-    async def _get_status(self, _request: HttpRequest, reply: Reply) -> None:
+    async def _get_status(
+        self, _request: HttpRequest, reply: ResponseWriter
+    ) -> None:
         context = self._context
         configuration = self._runtime.configuration
         key_table = context.shards.key_table
@@ -170,21 +172,27 @@
             },
         )
 
-    async def _get_timeline(self, _request: HttpRequest, reply: Reply) -> None:
+    async def _get_timeline(
+        self, _request: HttpRequest, reply: ResponseWriter
+    ) -> None:
         sources = [self._runtime.timeline.events_after(0)]
         async with trio.open_nursery() as nursery:
             for peer in self._context.pool.peers:
                 nursery.start_soon(_gather_events, peer, sources)
         await send_json(reply, _OK, merge_events(sources))
 
-    async def _list_lost(self, _request: HttpRequest, reply: Reply) -> None:
+    async def _list_lost(
+        self, _request: HttpRequest, reply: ResponseWriter
+    ) -> None:
         lost = [
             _lost_item(record)
             for record in self._context.shards.key_table.lost_records()
         ]
         await send_json(reply, _OK, lost)
 
-    async def _resolve_lost(self, request: HttpRequest, reply: Reply) -> None:
+    async def _resolve_lost(
+        self, request: HttpRequest, reply: ResponseWriter
+    ) -> None:
         order = _decode_order(request.body, _ResolveOrder)
         states = {'ran': AttemptState.RAN, 'not-run': AttemptState.VOID}
         if order is None or order.outcome not in states:
@@ -207,16 +215,18 @@
         status = _OK if is_recorded else _ACCEPTED
         await send_json(reply, status, {'key': key, 'recorded': is_recorded})
 
-    async def _get_manifest(self, _request: HttpRequest, reply: Reply) -> None:
+    async def _get_manifest(
+        self, _request: HttpRequest, reply: ResponseWriter
+    ) -> None:
         in_force = self._runtime.configuration.in_force
         if in_force is None:
             await send_json(reply, _NOT_FOUND, {'title': 'no manifest yet'})
             return
         version = ('x-manifest-version', str(in_force.version))
-        await reply.whole(_OK, (JSON_TYPE, version), in_force.text)
+        await reply.send(_OK, (JSON_TYPE, version), in_force.text)
 
     async def _publish_manifest(
-        self, request: HttpRequest, reply: Reply
+        self, request: HttpRequest, reply: ResponseWriter
     ) -> None:
         configuration = self._runtime.configuration
         try:
@@ -253,7 +263,9 @@
         }
         await send_json(reply, _OK if verdict.accepted else _CONFLICT, body)
 
-    async def _set_drain(self, request: HttpRequest, reply: Reply) -> None:
+    async def _set_drain(
+        self, request: HttpRequest, reply: ResponseWriter
+    ) -> None:
         order = _decode_order(request.body, _DrainOrder)
         if order is None:
             title = 'send upstream, draining (true or false) and author'
--- a/src/amaranthrail/entry/callerhandler.py
+++ b/src/amaranthrail/entry/callerhandler.py
@@ -4,9 +4,9 @@
 
 import itertools
 
-from ..adapters.httpclient import HttpAnswer
-from ..adapters.httpserver import HttpRequest, Reply
-from ..adapters.probes import send_ready
+from ..adapters.httpclient import HttpResponse
+from ..adapters.httpserver import HttpRequest, ResponseWriter
+from ..adapters.probes import send_readiness
 from ..adapters.problem import send_refusal
 from ..outcomes import Reason, Refusal, not_run
 from ..policy.sizes import (
@@ -40,11 +40,11 @@
         self._metrics = context.runtime.metrics
         self._ids = itertools.count(1)
 
-    async def handle(self, request: HttpRequest, reply: Reply) -> None:
+    async def handle(self, request: HttpRequest, reply: ResponseWriter) -> None:
         """Respond to one request; health probes need no credential."""
         if request.path in {'/healthz', '/readyz'}:
             ready = request.path == '/healthz' or self._context.ready
-            await send_ready(reply, ready=ready)
+            await send_readiness(reply, ready=ready)
             return
         started_at = self._clock.now()
         request_id = f'{self._context.runtime.incarnation}-r{next(self._ids)}'
@@ -56,7 +56,7 @@
         await self._serve(call, reply)
         self._metrics.latency('request').record(self._clock.now() - started_at)
 
-    async def _serve(self, call: Call, reply: Reply) -> None:
+    async def _serve(self, call: Call, reply: ResponseWriter) -> None:
         organisation = call.organisation.name
         shares = self._context.shares
         if (
@@ -77,14 +77,14 @@
         finally:
             shares.remove(organisation, call.size.cost_ms)
 
-    async def _process(self, call: Call, reply: Reply) -> None:
+    async def _process(self, call: Call, reply: ResponseWriter) -> None:
         if call.route.operation.idempotent:
             await forward(self._context, call, reply)
             return
         call_result = await self._keyed_requests.execute(call)
-        if isinstance(call_result, HttpAnswer):
+        if isinstance(call_result, HttpResponse):
             headers = response_headers(call_result.headers, call)
-            await reply.whole(call_result.status, headers, call_result.body)
+            await reply.send(call_result.status, headers, call_result.body)
             return
         self._count_refusal(call_result)
         await send_refusal(
--- a/src/amaranthrail/entry/conclusions.py
+++ b/src/amaranthrail/entry/conclusions.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..adapters.httpclient import HttpAnswer
+from ..adapters.httpclient import HttpResponse
 from ..outcomes import Outcome, Reason, Refusal, not_run, unknown_outcome
 from ..records import AttemptState, Conclusion, Intent
 from ..runtime import Runtime
@@ -13,7 +13,7 @@
 #: Largest response body that is recorded for retries with the key.
 MAX_RECORDED_BODY_BYTES = 262_144
 
-CallResult = HttpAnswer | Refusal
+CallResult = HttpResponse | Refusal
 
 
 class ConclusionRecorder:
@@ -36,7 +36,7 @@
         """Record that the outcome of an attempt cannot be determined."""
         self._write_without_response(intent, AttemptState.LOST, reason)
 
-    def record_ran(self, intent: Intent, response: HttpAnswer) -> None:
+    def record_ran(self, intent: Intent, response: HttpResponse) -> None:
         """Record that an attempt ran, with its response.
 
         A body of more than ``MAX_RECORDED_BODY_BYTES`` is left out; retries
@@ -96,7 +96,7 @@
             return Refusal(
                 Outcome.RAN, Reason.RESPONSE_TOO_LARGE, 'not recorded'
             )
-        return HttpAnswer(
+        return HttpResponse(
             conclusion.status,
             conclusion.headers,
             conclusion.body,
--- a/src/amaranthrail/entry/forward.py
+++ b/src/amaranthrail/entry/forward.py
@@ -4,7 +4,7 @@
 
 from functools import partial
 
-from ..adapters.httpserver import Reply
+from ..adapters.httpserver import ResponseWriter
 from ..adapters.problem import send_refusal
 from ..clock import move_on_after
 from ..frames import ResponseHead
@@ -36,7 +36,9 @@
 )
 
 
-async def forward(context: EntryContext, call: Call, reply: Reply) -> None:
+async def forward(
+    context: EntryContext, call: Call, reply: ResponseWriter
+) -> None:
     """Forward a call, retrying at other replicas, and send the response.
 
     There are at most ``MAX_ATTEMPTS`` attempts. Once bytes have gone to the
@@ -77,7 +79,7 @@
     context: EntryContext,
     call: Call,
     peer: Peer,
-    reply: Reply,
+    reply: ResponseWriter,
 ) -> Refusal | None:
     clock = context.runtime.clock
     target = DispatchTarget(
@@ -103,7 +105,7 @@
     peer: Peer,
     exchange: Exchange,
     call: Call,
-    reply: Reply,
+    reply: ResponseWriter,
 ) -> Refusal | None:
     head = await exchange.wait_head()
     if isinstance(head, Refusal):
@@ -113,7 +115,7 @@
     body = await _read_body(peer, exchange)
     if isinstance(body, Refusal):
         return body
-    await reply.whole(head.status, response_headers(head.headers, call), body)
+    await reply.send(head.status, response_headers(head.headers, call), body)
     return None
 
 
@@ -134,7 +136,7 @@
     exchange: Exchange,
     head: ResponseHead,
     call: Call,
-    reply: Reply,
+    reply: ResponseWriter,
 ) -> Refusal | None:
     await reply.start(head.status, response_headers(head.headers, call))
     withheld = b''
@@ -146,10 +148,10 @@
             break
         events, withheld = _split_last_event(withheld + part)
         if events:
-            await reply.part(events)
+            await reply.send_chunk(events)
         peer.acknowledge(exchange)
     if withheld:
-        await reply.part(withheld)
+        await reply.send_chunk(withheld)
     await reply.finish()
     return None
 
--- a/src/amaranthrail/entry/inquiries.py
+++ b/src/amaranthrail/entry/inquiries.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from ..adapters.httpclient import HttpAnswer
+from ..adapters.httpclient import HttpResponse
 from ..clock import move_on_after
 from ..outcomes import Outcome, Reason, Refusal, unknown_outcome
 from ..records import Intent
@@ -82,7 +82,7 @@
                     peer, exchange, INQUIRY_TIMEOUT_MS
                 )
                 call_results.append(call_result)
-                if isinstance(call_result, HttpAnswer):
+                if isinstance(call_result, HttpResponse):
                     nursery.cancel_scope.cancel()
 
             for peer in self._context.pool.connected(call.route.service.name):
@@ -94,7 +94,7 @@
     """Return a response if there is one, else an unknown outcome, else None."""
     uncertain: CallResult | None = None
     for call_result in call_results:
-        if isinstance(call_result, HttpAnswer):
+        if isinstance(call_result, HttpResponse):
             return call_result
         if call_result.outcome is Outcome.UNKNOWN:
             uncertain = call_result
@@ -108,4 +108,4 @@
     body = await exchange.read_body()
     if isinstance(body, Refusal):
         return body
-    return HttpAnswer(head.status, head.headers, body)
+    return HttpResponse(head.status, head.headers, body)
--- a/src/amaranthrail/entry/peers.py
+++ b/src/amaranthrail/entry/peers.py
@@ -16,7 +16,7 @@
     HANDSHAKE_TIMEOUT_S,
     Link,
     LinkClosedError,
-    greet,
+    client_handshake,
 )
 from ..clock import move_on_after, sleep
 from ..configsync import (
@@ -215,21 +215,21 @@
         if self._link is None:
             return
         if cancel and not exchange.ended:
-            self._link.post(Cancel(exchange.request))
+            self._link.enqueue(Cancel(exchange.request))
         else:
             done = Ack(exchange.request, exchange.received, done=True)
-            self._link.post(done)
+            self._link.enqueue(done)
 
     def acknowledge(self, exchange: Exchange) -> None:
         """Acknowledge bytes passed on, so that the sidecar sends more."""
         ack = exchange.next_ack()
         if ack is not None and self._link is not None:
-            self._link.post(ack)
+            self._link.enqueue(ack)
 
     def send_heartbeat(self) -> None:
         """Report the versions in force now, not only at the next interval."""
         if self._link is not None:
-            self._link.post(heartbeat_without_load(self._runtime))
+            self._link.enqueue(heartbeat_without_load(self._runtime))
 
     async def fetch_events(self, timeout_ms: float) -> list[Event]:
         """Return the sidecar's timeline, empty if it is not sent in time."""
@@ -237,7 +237,7 @@
             return []
         request = self._context.next_request()
         waiter = self._in_flight.add_waiter(request)
-        self._link.post(EventsRequest(request, 0))
+        self._link.enqueue(EventsRequest(request, 0))
         with move_on_after(timeout_ms):
             await waiter.wait()
         self._in_flight.remove_waiter(request)
@@ -282,7 +282,7 @@
         is_established = False
         try:
             with trio.fail_after(HANDSHAKE_TIMEOUT_S):
-                welcome = await greet(
+                welcome = await client_handshake(
                     link,
                     self._context.settings.peer_key.encode(),
                     self._hello(),
@@ -324,7 +324,7 @@
         self._load = None
         self._runtime.timeline.add('peer-connected', self.name)
         for frame in self._in_flight.resume_frames():
-            link.post(frame)
+            link.enqueue(frame)
         return True
 
     def _handle_frame(self, link: Link, frame: AnyFrame) -> None:
@@ -349,7 +349,7 @@
             exchange.fail(unknown_outcome(Reason.PEER_GONE, 'not connected'))
             return
         self._in_flight.add(exchange)
-        self._link.post(exchange.opening)
+        self._link.enqueue(exchange.opening)
 
     def _drop_link(self, link: Link) -> None:
         if self._link is link:
--- a/src/amaranthrail/entry/service.py
+++ b/src/amaranthrail/entry/service.py
@@ -8,7 +8,7 @@
 import trio
 
 from ..adapters.httpserver import ServerLimits, ServerState, serve_connection
-from ..adapters.listen import open_listeners, secured
+from ..adapters.listen import handler_with_tls, open_listeners
 from ..adapters.platform import HttpHostList, HttpLog
 from ..clock import sleep
 from ..consumer import StreamConsumer
@@ -132,7 +132,7 @@
         async def serve(stream: trio.abc.Stream) -> None:
             await serve_connection(stream, caller_handler.handle, state)
 
-        handler = secured(serve, self._caller_tls())
+        handler = handler_with_tls(serve, self._caller_tls())
         async with trio.open_nursery() as connections:
             async with trio.open_nursery() as accepting:
                 accepting.start_soon(
@@ -143,7 +143,7 @@
                         handler_nursery=connections,
                     ),
                 )
-                await state.wait_closing()
+                await state.wait_until_closing()
                 accepting.cancel_scope.cancel()
             for listener in listeners:
                 await listener.aclose()
--- a/src/amaranthrail/entry/settlement.py
+++ b/src/amaranthrail/entry/settlement.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..adapters.httpclient import HttpAnswer
+from ..adapters.httpclient import HttpResponse
 from ..clock import MS_PER_SECOND, move_on_after, sleep
 from ..logs import part_logger
 from ..outcomes import Outcome, Reason, not_run, unknown_outcome
@@ -68,7 +68,7 @@
         Return the result for the caller. When the sidecar did not respond, the
         attempt is settled first.
         """
-        if isinstance(call_result, HttpAnswer):
+        if isinstance(call_result, HttpResponse):
             self._conclusions.record_ran(intent, call_result)
             return call_result
         if call_result.outcome is Outcome.NOT_RUN:
--- a/src/amaranthrail/sidecar/peers.py
+++ b/src/amaranthrail/sidecar/peers.py
@@ -7,7 +7,12 @@
 
 import trio
 
-from ..adapters.link import HANDSHAKE_TIMEOUT_S, Link, LinkClosedError, admit
+from ..adapters.link import (
+    HANDSHAKE_TIMEOUT_S,
+    Link,
+    LinkClosedError,
+    server_handshake,
+)
 from ..clock import sleep
 from ..configsync import handle_config_frame
 from ..exceptions import FrameError
@@ -118,7 +123,7 @@
 
     def announce(self) -> None:
         """Send a heartbeat now."""
-        self._link.post(self._heartbeat())
+        self._link.enqueue(self._heartbeat())
 
     async def _admit(self) -> Hello:
         settings = self._office.settings
@@ -130,21 +135,23 @@
             settings.upstream,
             settings.domain,
         )
-        return await admit(self._link, settings.peer_key.encode(), welcome)
+        return await server_handshake(
+            self._link, settings.peer_key.encode(), welcome
+        )
 
     async def _exchange_frames(self) -> None:
         link = self._link
         silence_ms = self._office.settings.silence_ms
         async with trio.open_nursery() as nursery:
             nursery.start_soon(link.run_writer)
-            nursery.start_soon(link.watch_silence, silence_ms)
+            nursery.start_soon(link.watch_liveness, silence_ms)
             nursery.start_soon(self._beat)
             while True:
                 self._take(await link.receive(), nursery)
 
     async def _beat(self) -> None:
         while True:
-            self._link.post(self._heartbeat())
+            self._link.enqueue(self._heartbeat())
             await sleep(self._office.settings.heartbeat_ms)
 
     def _heartbeat(self) -> Heartbeat:
@@ -180,7 +187,7 @@
                 self._take_question(frame)
             case EventsRequest():
                 events = self._runtime.timeline.events_after(frame.after)
-                self._link.post(
+                self._link.enqueue(
                     EventsResponse(frame.request, encode_events(events))
                 )
             case GroupOrder():
@@ -194,7 +201,7 @@
             self._runtime.metrics.count('group_orders_unexpected')
             return
         reply = await rank.take(decode_order(frame.payload))
-        self._link.post(GroupReply(frame.request, encode_order(reply)))
+        self._link.enqueue(GroupReply(frame.request, encode_order(reply)))
 
     def _take_question(
         self,
@@ -220,7 +227,7 @@
             # What an earlier incarnation ran cannot be known here.
             stamp = self._runtime.clock.stamp()
             reason = Reason.WRONG_INCARNATION.value
-            self._link.post(Failed(inquiry.request, stamp, reason))
+            self._link.enqueue(Failed(inquiry.request, stamp, reason))
             return
         run = self._office.gate.inquire(inquiry.intent)
         progress = Progress(inquiry.received)
@@ -273,7 +280,7 @@
             nonlocal progress
             stamp = self._runtime.clock.stamp()
             for frame in run.frames(request, progress, stamp):
-                self._link.post(frame)
+                self._link.enqueue(frame)
             progress = Progress(run.length, has_head=run.begun)
             if run.ended:
                 self._sending.pop(request, None)
@@ -303,4 +310,4 @@
     def _refuse(self, request: str, reason: Reason, detail: str) -> None:
         stamp = self._runtime.clock.stamp()
         self._runtime.metrics.count('dispatches_refused', reason=reason.value)
-        self._link.post(Refused(request, stamp, reason.value, detail))
+        self._link.enqueue(Refused(request, stamp, reason.value, detail))
--- a/src/amaranthrail/sidecar/ranklink.py
+++ b/src/amaranthrail/sidecar/ranklink.py
@@ -11,7 +11,12 @@
 
 from ..adapters.dial import dial
 from ..adapters.httpclient import Address
-from ..adapters.link import HANDSHAKE_TIMEOUT_S, Link, LinkClosedError, greet
+from ..adapters.link import (
+    HANDSHAKE_TIMEOUT_S,
+    Link,
+    LinkClosedError,
+    client_handshake,
+)
 from ..clock import move_on_after, sleep
 from ..configsync import exchange_frames, handle_config_frame
 from ..exceptions import FrameError
@@ -68,7 +73,7 @@
         request = str(next(self._requests))
         waiter = _Waiter(trio.Event())
         self._waiters[request] = waiter
-        self._link.post(GroupOrder(request, encode_order(order)))
+        self._link.enqueue(GroupOrder(request, encode_order(order)))
         with move_on_after(timeout_ms):
             await waiter.arrived.wait()
         del self._waiters[request]
@@ -100,7 +105,9 @@
             next(_connection_numbers),
         )
         with trio.fail_after(HANDSHAKE_TIMEOUT_S):
-            await greet(link, self._settings.peer_key.encode(), hello)
+            await client_handshake(
+                link, self._settings.peer_key.encode(), hello
+            )
         self._link = link
         await exchange_frames(
             link,
--- a/src/amaranthrail/sidecar/service.py
+++ b/src/amaranthrail/sidecar/service.py
@@ -9,15 +9,15 @@
 from ..adapters.httpclient import HttpClient
 from ..adapters.httpserver import (
     HttpRequest,
-    Reply,
+    ResponseWriter,
     ServerLimits,
     ServerState,
     serve_connection,
 )
 from ..adapters.link import Link
-from ..adapters.listen import open_listeners, secured
+from ..adapters.listen import handler_with_tls, open_listeners
 from ..adapters.platform import HttpHostList
-from ..adapters.probes import send_alive, send_metrics, send_ready
+from ..adapters.probes import send_liveness, send_metrics, send_readiness
 from ..adapters.problem import send_json
 from ..adapters.rankengine import HttpRankEngine, HttpWeightStore
 from ..clock import move_on_after, sleep
@@ -159,7 +159,9 @@
             async with stream:
                 await self._serve_peer(stream, office)
 
-        await trio.serve_listeners(secured(serve, self._tls()), listeners)
+        await trio.serve_listeners(
+            handler_with_tls(serve, self._tls()), listeners
+        )
 
     async def _serve_peer(
         self,
@@ -185,12 +187,14 @@
 
         await trio.serve_listeners(serve, listeners)
 
-    async def _administer(self, request: HttpRequest, reply: Reply) -> None:
+    async def _administer(
+        self, request: HttpRequest, reply: ResponseWriter
+    ) -> None:
         match request.path:
             case '/healthz':
-                await send_alive(reply)
+                await send_liveness(reply)
             case '/readyz':
-                await send_ready(reply, ready=not self._gate.leaving)
+                await send_readiness(reply, ready=not self._gate.leaving)
             case '/metrics':
                 self._gauge()
                 await send_metrics(reply, self._runtime.metrics)
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from amaranthrail.adapters.httpserver import HttpRequest, Reply
+from amaranthrail.adapters.httpserver import HttpRequest, ResponseWriter
 
 from .serving import read_json, send_json
 
@@ -51,7 +51,9 @@
         while self.silent:
             await self.changed.wait()
 
-    async def control(self, request: HttpRequest, reply: Reply) -> None:
+    async def control(
+        self, request: HttpRequest, reply: ResponseWriter
+    ) -> None:
         """Serve ``/control/runs`` and ``/control/faults``."""
         if request.path == '/control/runs':
             await send_json(reply, self.runs)
@@ -67,7 +69,7 @@
 
 
 async def send_cut(
-    reply: Reply,
+    reply: ResponseWriter,
     faults: Faults,
     headers: tuple[tuple[str, str], ...],
     body: bytes,
@@ -75,8 +77,8 @@
     """Send an answer, or only its first bytes where that fault is set."""
     await faults.wait_heard()
     if faults.cut_after_bytes is None:
-        await reply.whole(200, headers, body)
+        await reply.send(200, headers, body)
         return
     length = ('content-length', str(len(body)))
     await reply.start(200, (*headers, length))
-    await reply.part(body[: faults.cut_after_bytes])
+    await reply.send_chunk(body[: faults.cut_after_bytes])
--- a/standins/replica.py
+++ b/standins/replica.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from amaranthrail.adapters.httpserver import HttpRequest, Reply
+from amaranthrail.adapters.httpserver import HttpRequest, ResponseWriter
 from amaranthrail.adapters.problem import send_json
 
 _HTTP_OK = 200
@@ -45,7 +45,7 @@
     pause_s: float = 0
     note_run: Callable[[str, HttpRequest], None] | None = None
 
-    async def handle(self, request: HttpRequest, reply: Reply) -> None:
+    async def handle(self, request: HttpRequest, reply: ResponseWriter) -> None:
         """Answer one call."""
         if request.header('expect-replica') != self.name:
             self.refused += 1
@@ -53,7 +53,7 @@
             return
         if self.behaviour is Behaviour.SHEDDING:
             self.refused += 1
-            await reply.whole(_HTTP_UNAVAILABLE, (('not-executed', '1'),), b'')
+            await reply.send(_HTTP_UNAVAILABLE, (('not-executed', '1'),), b'')
             return
         self.ran.append(request)
         if self.note_run is not None:
@@ -75,22 +75,24 @@
             headers.append(('content-encoding', 'gzip'))
         return tuple(headers)
 
-    async def _run(self, request: HttpRequest, reply: Reply) -> None:
+    async def _run(self, request: HttpRequest, reply: ResponseWriter) -> None:
         if self.behaviour is Behaviour.MUTE:
             await trio.sleep_forever()
         await trio.sleep(self.pause_s)
         if self.behaviour is Behaviour.FAILING:
-            await reply.whole(_HTTP_FAILED, self._headers(request), b'failed')
+            await reply.send(_HTTP_FAILED, self._headers(request), b'failed')
         elif request.path.startswith('/stream/'):
             await self._stream(request, reply)
         elif self.behaviour is Behaviour.CUTTING:
             await reply.start(_HTTP_OK, self._headers(request))
-            await reply.part(b'half of an ans')
+            await reply.send_chunk(b'half of an ans')
         else:
             body = f'{self.name} did {request.target}'.encode()
-            await reply.whole(_HTTP_OK, self._headers(request), body)
+            await reply.send(_HTTP_OK, self._headers(request), body)
 
-    async def _stream(self, request: HttpRequest, reply: Reply) -> None:
+    async def _stream(
+        self, request: HttpRequest, reply: ResponseWriter
+    ) -> None:
         first = int(request.header('last-event-id') or '0') + 1
         kind = ('content-type', 'text/event-stream')
         await reply.start(_HTTP_OK, (kind, *self._headers(request)))
@@ -101,10 +103,12 @@
             }
             if cuts and number == first + 2:
                 if self.behaviour is Behaviour.CUTTING_IN_EVENT:
-                    await reply.part(f'id: {number}\ndata: of it o'.encode())
+                    await reply.send_chunk(
+                        f'id: {number}\ndata: of it o'.encode()
+                    )
                 return
             if self.behaviour is Behaviour.STOPPING and number == first + 2:
                 await trio.sleep_forever()
-            await reply.part(f'id: {number}\ndata: {number}\n\n'.encode())
+            await reply.send_chunk(f'id: {number}\ndata: {number}\n\n'.encode())
             await trio.sleep(self.pause_s)
         await reply.finish()
--- a/tests/client.py
+++ b/tests/client.py
@@ -1,4 +1,4 @@
-"""Make callers' requests against a fleet."""
+"""Send requests to a fleet as its callers do."""
 
 from __future__ import annotations
 
@@ -9,18 +9,23 @@
 LAST_EVENT = b'data: [DONE]\n\n'
 
 
-def auth(fleet: Fleet, number: int = 0) -> dict[str, str]:
+def auth_headers(fleet: Fleet, number: int = 0) -> dict[str, str]:
+    """Return the credentials of one of the fleet's organisations."""
     return {'Authorization': f'Bearer {fleet.token(number)}'}
 
 
-def draft(
+def request_completion(
     fleet: Fleet,
     entry: EntryProcess,
     prompt: str,
     tokens: int = 5,
     **extra: object,
 ) -> Answer:
-    order = {
+    """Request a chat completion, streamed unless ``extra`` has another value.
+
+    ``extra`` replaces or adds fields of the request's body.
+    """
+    completion = {
         'model': fleet.deployment.model,
         'messages': [{'role': 'user', 'content': prompt}],
         'max_tokens': tokens,
@@ -31,12 +36,12 @@
         entry.url,
         'POST',
         '/v1/chat/completions',
-        order,
-        auth(fleet),
+        completion,
+        auth_headers(fleet),
     )
 
 
-def file_order(
+def submit_order(
     fleet: Fleet,
     entry: EntryProcess,
     key: str,
@@ -45,12 +50,20 @@
     headers: dict[str, str] | None = None,
     timeout: float = 30,
 ) -> Answer:
+    """Send a non-idempotent request with an idempotency key.
+
+    ``number`` is that of the organisation; ``timeout`` is in seconds.
+    """
     _, method, path, _ = fleet.deployment.operations[0]
     return http_call(
         entry.url,
         method,
         path,
         body or {'books': 1},
-        {**auth(fleet, number), 'Idempotency-Key': key, **(headers or {})},
+        {
+            **auth_headers(fleet, number),
+            'Idempotency-Key': key,
+            **(headers or {}),
+        },
         timeout,
     )
--- a/tests/keyedworkload.py
+++ b/tests/keyedworkload.py
@@ -14,7 +14,7 @@
 from standins.fleet import Fleet
 from standins.launch import EntryProcess
 
-from .client import file_order
+from .client import submit_order
 
 #: The documented bound: every key is concluded this long after a fault ends.
 SETTLE_S = 10.0
@@ -74,7 +74,7 @@
 def send_order(fleet: Fleet, entry: EntryProcess, key: str) -> str:
     """Send an order and return its outcome, 'nothing' for no response."""
     try:
-        response = file_order(fleet, entry, key, timeout=_CALL_TIMEOUT_S)
+        response = submit_order(fleet, entry, key, timeout=_CALL_TIMEOUT_S)
     except (OSError, client.HTTPException):
         return 'nothing'
     return parse_outcome(response)
@@ -147,7 +147,7 @@
     for upstream in upstreams:
         upstream.set_faults(cut_after_bytes=5)
     try:
-        response = file_order(fleet, fleet.entries[0], key)
+        response = submit_order(fleet, fleet.entries[0], key)
     finally:
         for upstream in upstreams:
             upstream.set_faults(cut_after_bytes=None)
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -14,7 +14,7 @@
 from standins.fleet import Fleet, running_fleet
 from standins.launch import EntryProcess, FleetPlan, UpstreamProcess
 
-from .client import file_order
+from .client import submit_order
 from .evidence import Seen, appends_unanswered, latest_stamp, peers_lost
 from .faults import FAULTS, Fault
 from .keyedworkload import (
@@ -87,15 +87,15 @@
     faulty_fleet: Fleet,
 ) -> None:
     key = 'before-the-outage'
-    first_response = file_order(faulty_fleet, faulty_fleet.entries[0], key)
+    first_response = submit_order(faulty_fleet, faulty_fleet.entries[0], key)
     restarted_entry = faulty_fleet.entries[1]
     faulty_fleet.fault_platform(log='down')
     restarted_entry.child.kill()
     restarted_entry.child.restart()
     try:
         faulty_fleet.wait_entry_ready(restarted_entry)
-        retried = file_order(faulty_fleet, restarted_entry, key)
-        new_key_response = file_order(
+        retried = submit_order(faulty_fleet, restarted_entry, key)
+        new_key_response = submit_order(
             faulty_fleet, restarted_entry, 'in-the-outage'
         )
     finally:
@@ -113,7 +113,7 @@
     faulty_fleet: Fleet,
 ) -> None:
     key = 'known-to-one'
-    first_response = file_order(faulty_fleet, faulty_fleet.entries[0], key)
+    first_response = submit_order(faulty_fleet, faulty_fleet.entries[0], key)
     assert first_response.status == 200, first_response.body
     restarted_entry = faulty_fleet.entries[1]
     paused_sidecars = [
@@ -130,7 +130,7 @@
         wait_until(lambda: _count_connected(faulty_fleet, restarted_entry) == 3)
         for sidecar in paused_sidecars:
             sidecar.pause()
-        retried = file_order(faulty_fleet, restarted_entry, key)
+        retried = submit_order(faulty_fleet, restarted_entry, key)
     finally:
         for sidecar in paused_sidecars:
             sidecar.resume()
@@ -146,7 +146,7 @@
         wait_until(lambda: _only_lost_keys_remain(faulty_fleet))
         time.sleep(2 * RETENTION_MS / 1000)
         assert key in lost_keys(faulty_fleet)
-        retried = file_order(faulty_fleet, faulty_fleet.entries[1], key)
+        retried = submit_order(faulty_fleet, faulty_fleet.entries[1], key)
     finally:
         faulty_fleet.fault_platform(retention_ms=DAY_MS)
     assert (retried.status, retried.json()['reason']) == (409, 'key-lost')
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Refuse bad input clearly, and let nobody else notice."""
+"""Test that bad input is refused and does not affect other requests."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from standins.fleet import Fleet
 from standins.launch import ADMIN_TOKEN
 
-from .client import auth, draft, file_order
-from .raw import exchange, exchange_at
+from .client import auth_headers, request_completion, submit_order
+from .raw import send_raw, send_raw_to
 
 CHAT = '/v1/chat/completions'
 
@@ -42,13 +42,15 @@
     status: int,
     reason: str | None,
 ) -> None:
-    answer = http_call(fleet.entries[0].url, method, path, body, auth(fleet))
-    assert answer.status == status
-    assert answer.headers['x-outcome'] == 'not-run'
-    assert answer.headers['content-type'] == 'application/problem+json'
+    response = http_call(
+        fleet.entries[0].url, method, path, body, auth_headers(fleet)
+    )
+    assert response.status == status
+    assert response.headers['x-outcome'] == 'not-run'
+    assert response.headers['content-type'] == 'application/problem+json'
     if reason:
-        assert answer.json()['reason'] == reason
-    assert draft(fleet, fleet.entries[0], 'after').status == 200
+        assert response.json()['reason'] == reason
+    assert request_completion(fleet, fleet.entries[0], 'after').status == 200
 
 
 BAD_FIELDS = [
@@ -64,11 +66,13 @@
 
 @pytest.mark.parametrize(('fields', 'status'), BAD_FIELDS)
 def test_bad_field(fleet: Fleet, fields: dict[str, str], status: int) -> None:
-    headers = {**auth(fleet), **fields}
+    headers = {**auth_headers(fleet), **fields}
     entry = fleet.entries[0]
-    answer = http_call(entry.url, 'GET', '/sportello/orders/1', headers=headers)
-    assert answer.status == status
-    assert answer.headers['x-outcome'] == 'not-run'
+    response = http_call(
+        entry.url, 'GET', '/sportello/orders/1', headers=headers
+    )
+    assert response.status == status
+    assert response.headers['x-outcome'] == 'not-run'
 
 
 BAD_BYTES = [
@@ -82,19 +86,19 @@
 
 @pytest.mark.parametrize(('payload', 'status'), BAD_BYTES)
 def test_bad_bytes(fleet: Fleet, payload: bytes, status: int) -> None:
-    received = exchange(fleet.entries[0], payload)
+    received = send_raw(fleet.entries[0], payload)
     assert received.startswith(f'HTTP/1.1 {status} '.encode())
 
 
-def test_body_shorter_than_declared_runs_nothing(fleet: Fleet) -> None:
+def test_truncated_body_is_not_executed(fleet: Fleet) -> None:
     head = (
         'POST /sportello/orders HTTP/1.1\r\nhost: a\r\n'
         f'authorization: Bearer {fleet.token()}\r\n'
         'idempotency-key: short-body\r\ncontent-length: 10\r\n\r\n'
     )
-    received = exchange(fleet.entries[0], head.encode() + b'abc', close=True)
+    received = send_raw(fleet.entries[0], head.encode() + b'abc', close=True)
     assert b' 200 ' not in received
-    assert file_order(fleet, fleet.entries[0], 'probe').status == 200
+    assert submit_order(fleet, fleet.entries[0], 'probe').status == 200
     assert not [
         run for run in fleet.runs('sportello') if run['key'] == 'short-body'
     ]
@@ -107,39 +111,43 @@
         f'{"connection: close" if number == 3 else "x-n: 1"}\r\n\r\n'
         for number in (1, 2, 3)
     )
-    received = exchange(fleet.entries[0], requests.encode()).decode()
-    places = [received.index(f'/sportello/orders/{one}') for one in (1, 2, 3)]
-    assert places == sorted(places)
+    received = send_raw(fleet.entries[0], requests.encode()).decode()
+    offsets = [
+        received.index(f'/sportello/orders/{number}') for number in (1, 2, 3)
+    ]
+    assert offsets == sorted(offsets)
 
 
-def test_reset_connections_disturb_nobody(fleet: Fleet) -> None:
+def test_garbage_connections_do_not_stop_the_entry(fleet: Fleet) -> None:
     for _ in range(20):
-        exchange(fleet.entries[0], b'\x16\x03\x01garbage', close=True)
-    assert draft(fleet, fleet.entries[0], 'still here').status == 200
+        send_raw(fleet.entries[0], b'\x16\x03\x01garbage', close=True)
+    assert (
+        request_completion(fleet, fleet.entries[0], 'still here').status == 200
+    )
     assert fleet.entries[0].child.running
 
 
-def test_claimed_organisation_changes_nothing(fleet: Fleet) -> None:
-    other = 'organisation-02'
-    claims = {'X-Organisation': other, 'X-Tenant-Id': other}
-    answer = file_order(fleet, fleet.entries[0], 'claim', headers=claims)
-    assert answer.json()['organisation'] == 'organisation-01'
+def test_organisation_headers_of_callers_are_ignored(fleet: Fleet) -> None:
+    claimed = 'organisation-02'
+    headers = {'X-Organisation': claimed, 'X-Tenant-Id': claimed}
+    response = submit_order(fleet, fleet.entries[0], 'claim', headers=headers)
+    assert response.json()['organisation'] == 'organisation-01'
 
 
-def test_key_belongs_to_its_organisation(fleet: Fleet) -> None:
-    first = file_order(fleet, fleet.entries[0], 'shared', 0)
-    second = file_order(fleet, fleet.entries[0], 'shared', 1)
+def test_key_is_scoped_to_its_organisation(fleet: Fleet) -> None:
+    first = submit_order(fleet, fleet.entries[0], 'shared', 0)
+    second = submit_order(fleet, fleet.entries[0], 'shared', 1)
     assert first.json()['organisation'] == 'organisation-01'
     assert second.json()['organisation'] == 'organisation-02'
 
 
-def test_key_reused_with_another_body(fleet: Fleet) -> None:
-    file_order(fleet, fleet.entries[0], 'reused')
+def test_key_reused_with_another_body_is_refused(fleet: Fleet) -> None:
+    submit_order(fleet, fleet.entries[0], 'reused')
     for entry in fleet.entries:
-        answer = file_order(fleet, entry, 'reused', body={'books': 2})
-        assert answer.status == 422
-        assert answer.json()['reason'] == 'key-reused'
-        assert file_order(fleet, entry, 'reused').status == 200
+        response = submit_order(fleet, entry, 'reused', body={'books': 2})
+        assert response.status == 422
+        assert response.json()['reason'] == 'key-reused'
+        assert submit_order(fleet, entry, 'reused').status == 200
 
 
 PEER_GARBAGE = [
@@ -148,7 +156,7 @@
     b'\x91' * 3000,
     b'\xdd\xff\xff\xff\xff',
     b'\xc6\xff\xff\xff\xff' + b'x' * 70_000,
-    # A hello with a wrong proof, then with no proof at all.
+    # A hello frame with a wrong proof, then one without a proof.
     b'\x96\xa5hello\xc4\x02xx\xc4\x02yy\xa1n\xa1i\x01',
     b'\x91\xa5hello',
 ]
@@ -157,8 +165,8 @@
 @pytest.mark.parametrize('payload', PEER_GARBAGE)
 def test_peer_port_closes_on_garbage(fleet: Fleet, payload: bytes) -> None:
     upstream = fleet.upstreams[0]
-    received = exchange_at(upstream.sidecar_address, payload)
-    # A challenge is all that anybody without the key gets to see.
+    received = send_raw_to(upstream.sidecar_address, payload)
+    # A peer that does not prove the peer key gets only the challenge.
     assert b'challenge' in received
     assert b'welcome' not in received
     assert upstream.sidecar.running
@@ -168,25 +176,27 @@
 
 
 @pytest.mark.parametrize('path', ADMIN_PATHS)
-def test_administration_needs_its_token(fleet: Fleet, path: str) -> None:
+def test_administration_requires_its_token(fleet: Fleet, path: str) -> None:
     for token in ('', 'Bearer wrong', f'bearer{ADMIN_TOKEN}'):
         headers = {'Authorization': token}
-        answer = http_call(fleet.entries[0].admin, 'GET', path, headers=headers)
-        assert answer.status == 401
+        response = http_call(
+            fleet.entries[0].admin, 'GET', path, headers=headers
+        )
+        assert response.status == 401
 
 
-def test_log_garbage_is_skipped_and_shown(fleet: Fleet) -> None:
+def test_invalid_log_records_are_skipped_and_counted(fleet: Fleet) -> None:
     entry = fleet.entries[0]
-    before = fleet.status(entry)['records_skipped']
-    garbage = [
+    skipped_before = fleet.status(entry)['records_skipped']
+    invalid_records = [
         b'',
         b'nonsense',
         b'{"type":"filings"}',
         json.dumps([1]).encode(),
     ]
-    for text in garbage:
-        http_call(fleet.platform_address, 'POST', '/log/control', text)
-        http_call(fleet.platform_address, 'POST', '/log/filings-0', text)
-    expected = before + 2 * len(garbage)
+    for record in invalid_records:
+        http_call(fleet.platform_address, 'POST', '/log/control', record)
+        http_call(fleet.platform_address, 'POST', '/log/filings-0', record)
+    expected = skipped_before + 2 * len(invalid_records)
     wait_until(lambda: fleet.status(entry)['records_skipped'] == expected)
-    assert file_order(fleet, entry, 'after-garbage').status == 200
+    assert submit_order(fleet, entry, 'after-garbage').status == 200
--- a/tests/test_direct_path.py
+++ b/tests/test_direct_path.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 
-from amaranthrail.adapters.httpclient import HttpAnswer
+from amaranthrail.adapters.httpclient import HttpResponse
 from amaranthrail.exceptions import HttpError
 from amaranthrail.policy.shutdown import STREAM_ACCEPT_MS
 from standins.keyedlog import KeyedLog, StoreFault
@@ -395,7 +395,7 @@
         entry = await bench.start_entry()
         await entry.until_ready()
         call = partial(entry.call, deadline_remaining_ms='8000')
-        responses: list[HttpAnswer] = []
+        responses: list[HttpResponse] = []
 
         async def call_first() -> None:
             responses.append(await call('/stream/1', 'POST'))
--- a/tests/test_manifest_spread.py
+++ b/tests/test_manifest_spread.py
@@ -12,7 +12,7 @@
 from standins.fleet import Fleet, running_fleet
 from standins.launch import FleetPlan
 
-from .client import draft
+from .client import request_completion
 
 #: Required bound for a change to be in force everywhere, in seconds.
 IN_FORCE_S = 4.0
@@ -122,7 +122,7 @@
             child.kill()
             child.restart()
         wait_until(lambda: _versions(relayed_fleet) == {version}, 10)
-        response = draft(
+        response = request_completion(
             relayed_fleet, relayed_fleet.entries[0], 'in an outage'
         )
     finally:
--- a/tests/test_responses.py
+++ b/tests/test_responses.py
@@ -13,7 +13,7 @@
 from standins.fleet import Fleet, running_fleet
 from standins.launch import FleetPlan, UpstreamProcess
 
-from .client import LAST_EVENT, auth, draft
+from .client import LAST_EVENT, auth_headers, request_completion
 
 TOKENS = 300
 STREAMS = 6
@@ -58,7 +58,7 @@
 def _stream(fleet: Fleet, prompt: str) -> bytes:
     """Return the body that a caller received; raise if it is truncated."""
     entry = fleet.entries[len(prompt) % 2]
-    return draft(fleet, entry, prompt, TOKENS).body
+    return request_completion(fleet, entry, prompt, TOKENS).body
 
 
 def _prompts(name: str) -> list[str]:
@@ -120,7 +120,9 @@
         upstream.set_faults(cut_after_bytes=200)
     try:
         with pytest.raises(client.IncompleteRead):
-            draft(streaming_fleet, streaming_fleet.entries[0], 'cut', TOKENS)
+            request_completion(
+                streaming_fleet, streaming_fleet.entries[0], 'cut', TOKENS
+            )
     finally:
         for upstream in streaming_fleet.of_service('redattore'):
             upstream.set_faults(cut_after_bytes=None)
@@ -131,7 +133,7 @@
 ) -> None:
     with ThreadPoolExecutor(1) as pool:
         future = pool.submit(
-            draft,
+            request_completion,
             streaming_fleet,
             streaming_fleet.entries[0],
             'tried twice',
@@ -157,7 +159,9 @@
     body = (
         b'{"model":"redattore","prompt":"gone","max_tokens":9999,"stream":true}'
     )
-    connection.request('POST', '/v1/completions', body, auth(streaming_fleet))
+    connection.request(
+        'POST', '/v1/completions', body, auth_headers(streaming_fleet)
+    )
     response = connection.getresponse()
     assert response.read(10)
     response.close()
--- a/tests/test_same_key.py
+++ b/tests/test_same_key.py
@@ -8,7 +8,7 @@
 from standins.calling import wait_until
 from standins.fleet import Fleet
 
-from .client import file_order
+from .client import submit_order
 from .keyedworkload import lose_key, lost_keys, resolve_key
 
 KEYS = 12
@@ -24,7 +24,7 @@
     with ThreadPoolExecutor(len(requests)) as pool:
         responses = list(
             pool.map(
-                lambda request: file_order(fleet, request[1], request[0]),
+                lambda request: submit_order(fleet, request[1], request[0]),
                 requests,
             )
         )
@@ -50,7 +50,7 @@
     try:
         with ThreadPoolExecutor(2) as pool:
             early_call = pool.submit(
-                file_order,
+                submit_order,
                 fleet,
                 entry,
                 'hurried',
@@ -58,7 +58,7 @@
             )
             wait_until(lambda: _is_waiting_for_log(fleet) or early_call.done())
             late_call = pool.submit(
-                file_order,
+                submit_order,
                 fleet,
                 entry,
                 'hurried',
@@ -82,9 +82,9 @@
 
 
 def test_retry_after_the_outcome_gets_the_first_response(fleet: Fleet) -> None:
-    first_response = file_order(fleet, fleet.entries[0], 'again')
+    first_response = submit_order(fleet, fleet.entries[0], 'again')
     later_responses = [
-        file_order(fleet, entry, 'again') for entry in fleet.entries * 3
+        submit_order(fleet, entry, 'again') for entry in fleet.entries * 3
     ]
     assert {
         (response.status, response.body) for response in later_responses
@@ -102,8 +102,8 @@
         504,
         'unknown',
     )
-    retried = file_order(fleet, fleet.entries[1], key)
+    retried = submit_order(fleet, fleet.entries[1], key)
     assert (retried.status, retried.json()['reason']) == (409, 'key-lost')
     assert resolve_key(fleet, key, 'not-run') == 200
-    assert file_order(fleet, fleet.entries[1], key).status == 200
+    assert submit_order(fleet, fleet.entries[1], key).status == 200
     assert key not in lost_keys(fleet)
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -19,8 +19,8 @@
 from standins.fleet import Fleet, running_fleet
 from standins.launch import FleetPlan
 
-from .client import LAST_EVENT, auth
-from .raw import exchange_at
+from .client import LAST_EVENT, auth_headers
+from .raw import send_raw_to
 
 PATH = '/v1/completions'
 
@@ -75,7 +75,9 @@
 
 
 def _headers(fleet: Fleet) -> HeaderList:
-    return tuple((name.lower(), text) for name, text in auth(fleet).items())
+    return tuple(
+        (name.lower(), text) for name, text in auth_headers(fleet).items()
+    )
 
 
 def test_caller_gets_a_response_over_tls(
@@ -98,7 +100,7 @@
 
 
 def test_peer_without_certificate_gets_no_challenge(tls_fleet: Fleet) -> None:
-    received = exchange_at(tls_fleet.upstreams[0].sidecar_address, b'\x00' * 64)
+    received = send_raw_to(tls_fleet.upstreams[0].sidecar_address, b'\x00' * 64)
     assert b'challenge' not in received
 
 
@@ -121,7 +123,7 @@
         payload = json.dumps(completion).encode()
         async with (
             client.exchange('POST', PATH, headers, payload) as exchange,
-            aclosing(exchange.parts()) as parts,
+            aclosing(exchange.body_chunks()) as parts,
         ):
             async for part in parts:
                 # Shutdown starts with the first part; the signal may be
