--- a/src/amaranthrail/sidecar/gate.py
+++ b/src/amaranthrail/sidecar/gate.py
@@ -19,7 +19,7 @@
 ANSWER_KEPT_MS = 30_000.0
 
 
-class Gate:
+class DispatchGate:
     """Decide what runs at this upstream.
 
     A run is known by its request id, and by its intent where it has one. What
--- a/src/amaranthrail/sidecar/peers.py
+++ b/src/amaranthrail/sidecar/peers.py
@@ -36,7 +36,7 @@
 from ..settings import SidecarSettings
 from ..timeline import encode_events
 from ..types import RequestId
-from .gate import Gate
+from .gate import DispatchGate
 from .rank import Rank
 from .run import NOTHING_SENT, News, Progress, Run
 from .slots import Slots
@@ -51,7 +51,7 @@
 
     runtime: Runtime
     settings: SidecarSettings
-    gate: Gate
+    gate: DispatchGate
     slots: Slots
     worker: Worker
     runs: trio.Nursery
--- a/src/amaranthrail/sidecar/service.py
+++ b/src/amaranthrail/sidecar/service.py
@@ -28,7 +28,7 @@
 from ..settings import SidecarSettings
 from ..tls import client_context, server_context
 from ..types import DomainName, ProcessName
-from .gate import Gate
+from .gate import DispatchGate
 from .group import GroupMember
 from .peers import Connections, Office, PeerConnection
 from .rank import Rank
@@ -52,7 +52,7 @@
             ProcessName(settings.name),
             DomainName(settings.domain),
         )
-        self._gate = Gate(
+        self._gate = DispatchGate(
             settings.upstream,
             self._runtime.incarnation,
             self._runtime.clock,
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -11,7 +11,7 @@
 from amaranthrail.configuration import Configuration
 from amaranthrail.frames import Dispatch
 from amaranthrail.outcomes import Outcome, Reason, Refusal
-from amaranthrail.sidecar.gate import STALE_AFTER_MS, Gate
+from amaranthrail.sidecar.gate import STALE_AFTER_MS, DispatchGate
 from amaranthrail.sidecar.run import Run
 from amaranthrail.types import Incarnation
 
@@ -30,7 +30,9 @@
 
     def __post_init__(self) -> None:
         clock = Clock(self.now_s, self.now_s)
-        self.gate = Gate('u', Incarnation('i'), clock, self.configuration)
+        self.gate = DispatchGate(
+            'u', Incarnation('i'), clock, self.configuration
+        )
 
     def now_s(self) -> float:
         return self.now_ms / 1000
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -25,7 +25,7 @@
     FactBatch,
     encode_record,
 )
-from amaranthrail.sidecar.gate import STALE_AFTER_MS, VOID_KEPT_MS, Gate
+from amaranthrail.sidecar.gate import STALE_AFTER_MS, VOID_KEPT_MS, DispatchGate
 from amaranthrail.sidecar.run import Run
 from amaranthrail.types import IdempotencyKey, Incarnation, Offset
 
@@ -141,9 +141,9 @@
     def now_s(self) -> float:
         return self.now_ms / 1000
 
-    def make_gate(self) -> Gate:
+    def make_gate(self) -> DispatchGate:
         incarnation = Incarnation(f's{self.restarts}')
-        return Gate('u', incarnation, self.clock, self.configuration)
+        return DispatchGate('u', incarnation, self.clock, self.configuration)
 
     def append(self, *facts: AnyFact) -> None:
         self.log.append(encode_record(FactBatch(id='x', facts=facts)))
