--- a/src/amaranthrail/sidecar/gate.py
+++ b/src/amaranthrail/sidecar/gate.py
@@ -10,9 +10,9 @@
 from .run import Run
 
 #: A dispatch that answers a heartbeat older than this is refused.
-STALE_AFTER_MS = 3000.0
+MAX_DISPATCH_AGE_MS = 3000.0
 #: How long a void must be remembered: longer than a copy can stay fresh.
-VOID_KEPT_MS = 4 * STALE_AFTER_MS
+VOID_KEPT_MS = 4 * MAX_DISPATCH_AGE_MS
 #: How long an ended keyed run answers those who ask for it.
 KEYED_KEPT_MS = 900_000.0
 #: How long an ended idempotent run waits for its entry to take the rest.
@@ -138,7 +138,7 @@
         if dispatch.request in self._voided or dispatch.intent in self._voided:
             return not_run(Reason.VOIDED, 'asked after before it arrived')
         age_ms = self._clock.now() - dispatch.clock
-        if age_ms > STALE_AFTER_MS:
+        if age_ms > MAX_DISPATCH_AGE_MS:
             return not_run(
                 Reason.STALE_DISPATCH,
                 f'sent on a heartbeat {age_ms:.0f} ms old',
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -11,7 +11,7 @@
 from amaranthrail.configuration import Configuration
 from amaranthrail.frames import Dispatch
 from amaranthrail.outcomes import Outcome, Reason, Refusal
-from amaranthrail.sidecar.gate import STALE_AFTER_MS, DispatchGate
+from amaranthrail.sidecar.gate import MAX_DISPATCH_AGE_MS, DispatchGate
 from amaranthrail.sidecar.run import Run
 from amaranthrail.types import Incarnation
 
@@ -54,7 +54,7 @@
 
 
 def _late(scene: Scene) -> None:
-    scene.now_ms += STALE_AFTER_MS + 1
+    scene.now_ms += MAX_DISPATCH_AGE_MS + 1
 
 
 REFUSALS = [
@@ -130,5 +130,5 @@
     sent = build.dispatch('r', 'i', clock=scene.now_ms)
     _enter(scene, sent).complete(scene.now_ms)
     scene.gate.forget('r')
-    scene.now_ms += STALE_AFTER_MS + 1
+    scene.now_ms += MAX_DISPATCH_AGE_MS + 1
     assert isinstance(scene.gate.check(sent), Refusal)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -25,7 +25,11 @@
     FactBatch,
     encode_record,
 )
-from amaranthrail.sidecar.gate import STALE_AFTER_MS, VOID_KEPT_MS, DispatchGate
+from amaranthrail.sidecar.gate import (
+    MAX_DISPATCH_AGE_MS,
+    VOID_KEPT_MS,
+    DispatchGate,
+)
 from amaranthrail.sidecar.run import Run
 from amaranthrail.types import IdempotencyKey, Incarnation, Offset
 
@@ -267,4 +271,4 @@
 
 def test_void_outlives_what_could_still_be_dispatched() -> None:
 
-    assert VOID_KEPT_MS > MAX_CLAIM_MS + STALE_AFTER_MS
+    assert VOID_KEPT_MS > MAX_CLAIM_MS + MAX_DISPATCH_AGE_MS
