--- a/src/amaranthrail/entry/keyedrequests.py
+++ b/src/amaranthrail/entry/keyedrequests.py
@@ -26,7 +26,7 @@
 #: What is left of a deadline to tell a caller that nothing was recorded.
 REFUSAL_MS = 100.0
 #: An intent claimed later than this after it was made is not dispatched. A
-#: sidecar remembers a void for longer than that (gate.VOID_KEPT_MS).
+#: sidecar remembers a void for longer than that (gate.VOID_RETENTION_MS).
 MAX_CLAIM_MS = 4500.0
 MAX_ATTEMPTS = 3
 _SWEEP_MS = 500.0
--- a/src/amaranthrail/sidecar/gate.py
+++ b/src/amaranthrail/sidecar/gate.py
@@ -12,7 +12,7 @@
 #: A dispatch that answers a heartbeat older than this is refused.
 MAX_DISPATCH_AGE_MS = 3000.0
 #: How long a void must be remembered: longer than a copy can stay fresh.
-VOID_KEPT_MS = 4 * MAX_DISPATCH_AGE_MS
+VOID_RETENTION_MS = 4 * MAX_DISPATCH_AGE_MS
 #: How long an ended keyed run answers those who ask for it.
 KEYED_KEPT_MS = 900_000.0
 #: How long an ended idempotent run waits for its entry to take the rest.
@@ -99,7 +99,7 @@
     def void(self, subject: str) -> None:
         """Refuse a request id or an intent from now on."""
         if subject:
-            self._voided[subject] = self._clock.now() + VOID_KEPT_MS
+            self._voided[subject] = self._clock.now() + VOID_RETENTION_MS
 
     def forget(self, request: str) -> None:
         """Drop an idempotent run whose entry has the whole answer."""
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -27,7 +27,7 @@
 )
 from amaranthrail.sidecar.gate import (
     MAX_DISPATCH_AGE_MS,
-    VOID_KEPT_MS,
+    VOID_RETENTION_MS,
     DispatchGate,
 )
 from amaranthrail.sidecar.run import Run
@@ -271,4 +271,4 @@
 
 def test_void_outlives_what_could_still_be_dispatched() -> None:
 
-    assert VOID_KEPT_MS > MAX_CLAIM_MS + MAX_DISPATCH_AGE_MS
+    assert VOID_RETENTION_MS > MAX_CLAIM_MS + MAX_DISPATCH_AGE_MS
