--- a/tests/rankbench.py
+++ b/tests/rankbench.py
@@ -265,7 +265,7 @@
         return True
 
 
-def schedule_by(seed: int) -> None:
+def seed_scheduler(seed: int) -> None:
     """Have trio choose among the tasks that may run by this seed.
 
     Trio shuffles them, from a sorted start where hypothesis is loaded.
@@ -278,7 +278,7 @@
 async def run_world(world_of: tuple[int, Trouble, bool]) -> World:
     """Run two coordinators over a disturbed group; return what happened."""
     seed, trouble, fencing = world_of
-    schedule_by(seed)
+    seed_scheduler(seed)
     world = World(seed, trouble, fencing)
     with trio.move_on_after(RUN_S):
         async with trio.open_nursery() as nursery:
@@ -295,7 +295,7 @@
     The last rank alone is told to confirm, and the next coordinator finds
     it armed and not confirmed.
     """
-    schedule_by(0)
+    seed_scheduler(0)
     world = World(0, Trouble(), fencing)
     last = RANKS - 1
     engine = LateReleaseEngine(world, world.engines[last])
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -21,7 +21,7 @@
 )
 
 from .lockstep import STEP_S, FakeGroup
-from .rankbench import schedule_by
+from .rankbench import seed_scheduler
 
 RANKS = 4
 EXPERTS = 8
@@ -63,7 +63,7 @@
     group = FakeGroup(RANKS, random.Random(1))
 
     async def main() -> None:
-        schedule_by(1)
+        seed_scheduler(1)
         leader = new_leader(group)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(group.run, nursery)
--- a/tests/test_map_change.py
+++ b/tests/test_map_change.py
@@ -14,7 +14,7 @@
 from amaranthrail.ranks.ports import MapOrder, OrderKind
 
 from .lockstep import FakeGroup
-from .rankbench import schedule_by
+from .rankbench import seed_scheduler
 
 RANKS = 6
 FIRST = (((0,), (1,), (2,), (3,), (4,), (5,)),)
@@ -27,7 +27,7 @@
     seed: int = 0,
 ) -> None:
     async def main() -> None:
-        schedule_by(seed)
+        seed_scheduler(seed)
         clock = Clock(trio.current_time)
         change = MapChange(0, group.fetch_report, group.send_order, clock)
         async with trio.open_nursery() as nursery:
