--- a/src/amaranthrail/sidecar/gate.py
+++ b/src/amaranthrail/sidecar/gate.py
@@ -78,7 +78,7 @@
             self.void(dispatch.intent)
         return refusal
 
-    def enter(self, run: Run) -> None:
+    def add_run(self, run: Run) -> None:
         """Keep a run that was let in."""
         self._by_request[run.dispatch.request] = run
         if run.dispatch.intent:
--- a/src/amaranthrail/sidecar/peers.py
+++ b/src/amaranthrail/sidecar/peers.py
@@ -242,7 +242,7 @@
             return
         if found is None:
             found = Run(dispatch, self._runtime.clock.now())
-            self._office.gate.enter(found)
+            self._office.gate.add_run(found)
             self._office.runs.start_soon(self._office.worker.run, found)
         self._answer(dispatch.request, found)
 
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -108,7 +108,7 @@
 def _enter(scene: Scene, sent: Dispatch) -> Run:
     assert scene.gate.check(sent) is None
     run = Run(sent, scene.now_ms)
-    scene.gate.enter(run)
+    scene.gate.add_run(run)
     return run
 
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -209,7 +209,7 @@
         found = self.gate.check(sent)
         if found is None:
             run = Run(sent, self.now_ms)
-            self.gate.enter(run)
+            self.gate.add_run(run)
             self.running[sent.intent] = run
             key = self.made[sent.intent][2]
             self.ran[key] = self.ran.get(key, 0) + 1
