--- a/src/amaranthrail/sidecar/gate.py
+++ b/src/amaranthrail/sidecar/gate.py
@@ -89,7 +89,7 @@
         """Return the latest run of a caller's key."""
         return self._by_key.get(key)
 
-    def inquire(self, intent: str) -> Run | None:
+    def find_or_void(self, intent: str) -> Run | None:
         """Return the run of an attempt; where there is none it is void now."""
         run = self._by_intent.get(intent)
         if run is None:
--- a/src/amaranthrail/sidecar/peers.py
+++ b/src/amaranthrail/sidecar/peers.py
@@ -222,7 +222,7 @@
             reason = Reason.WRONG_INCARNATION.value
             self._link.post(Failed(inquiry.request, stamp, reason))
             return
-        run = self._office.gate.inquire(inquiry.intent)
+        run = self._office.gate.find_or_void(inquiry.intent)
         progress = Progress(inquiry.received)
         self._answer(inquiry.request, run, progress)
 
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -46,7 +46,7 @@
 
 
 def _inquired(scene: Scene) -> None:
-    assert scene.gate.inquire('n') is None
+    assert scene.gate.find_or_void('n') is None
 
 
 def _new_manifest(scene: Scene) -> None:
@@ -122,7 +122,7 @@
     scene.gate.sweep()
     again = build.dispatch('r2', 'i', clock=scene.now_ms, intent='n')
     assert scene.gate.check(again) is run
-    assert scene.gate.inquire('n') is run
+    assert scene.gate.find_or_void('n') is run
 
 
 def test_forgotten_idempotent_run_does_not_run_from_a_stale_copy() -> None:
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -227,7 +227,7 @@
             return
         state = LOST
         if filing.intent.incarnation == current:
-            run = self.gate.inquire(filing.intent.id)
+            run = self.gate.find_or_void(filing.intent.id)
             state = VOID if run is None else RAN
         self.append(build.conclusion(key, filing.intent.id, state))
 
