--- a/src/amaranthrail/sidecar/gate.py
+++ b/src/amaranthrail/sidecar/gate.py
@@ -64,7 +64,7 @@
         """Return the run of a request id."""
         return self._by_request.get(request)
 
-    def check(self, dispatch: Dispatch) -> Run | Refusal | None:
+    def check_dispatch(self, dispatch: Dispatch) -> Run | Refusal | None:
         """Return the run that a dispatch repeats, why it is refused, or None.
 
         On a refusal the dispatch's ids are void: no later copy will run.
--- a/src/amaranthrail/sidecar/peers.py
+++ b/src/amaranthrail/sidecar/peers.py
@@ -234,7 +234,7 @@
         self._answer(asked.request, run)
 
     def _take_dispatch(self, dispatch: Dispatch) -> None:
-        found = self._office.gate.check(dispatch)
+        found = self._office.gate.check_dispatch(dispatch)
         if isinstance(found, Refusal):
             if found.reason is Reason.STALE_MANIFEST:
                 self.announce()
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -78,18 +78,18 @@
         'r', 'i', clock=scene.now_ms, intent='n', manifest_version=3
     )
     cause(scene)
-    refused = scene.gate.check(sent)
+    refused = scene.gate.check_dispatch(sent)
     assert isinstance(refused, Refusal)
     assert (refused.outcome, refused.reason) == (Outcome.NOT_RUN, reason)
     # The cause goes away; the refusal stays.
     scene.drain(2, draining=False)
     scene.now_ms += after_ms
     scene.gate.sweep()
-    assert isinstance(scene.gate.check(sent), Refusal)
+    assert isinstance(scene.gate.check_dispatch(sent), Refusal)
 
 
 def test_another_incarnation_refuses() -> None:
-    found = Scene().gate.check(build.dispatch('r', 'earlier', clock=10_000))
+    found = Scene().gate.check_dispatch(build.dispatch('r', 'earlier', clock=10_000))
     assert isinstance(found, Refusal)
     assert found.reason is Reason.WRONG_INCARNATION
 
@@ -102,11 +102,11 @@
     scene.gate.void('r')
     scene.now_ms += after_ms
     scene.gate.sweep()
-    assert isinstance(scene.gate.check(sent), Refusal)
+    assert isinstance(scene.gate.check_dispatch(sent), Refusal)
 
 
 def _enter(scene: Scene, sent: Dispatch) -> Run:
-    assert scene.gate.check(sent) is None
+    assert scene.gate.check_dispatch(sent) is None
     run = Run(sent, scene.now_ms)
     scene.gate.add_run(run)
     return run
@@ -121,7 +121,7 @@
     scene.now_ms += after_ms
     scene.gate.sweep()
     again = build.dispatch('r2', 'i', clock=scene.now_ms, intent='n')
-    assert scene.gate.check(again) is run
+    assert scene.gate.check_dispatch(again) is run
     assert scene.gate.find_or_void('n') is run
 
 
@@ -131,4 +131,4 @@
     _enter(scene, sent).complete(scene.now_ms)
     scene.gate.forget('r')
     scene.now_ms += MAX_DISPATCH_AGE_MS + 1
-    assert isinstance(scene.gate.check(sent), Refusal)
+    assert isinstance(scene.gate.check_dispatch(sent), Refusal)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -206,7 +206,7 @@
     def deliver(self, data: st.DataObject) -> None:
         # A copy stays on the way, to come again as late as it pleases.
         sent = data.draw(st.sampled_from(self.flying))
-        found = self.gate.check(sent)
+        found = self.gate.check_dispatch(sent)
         if found is None:
             run = Run(sent, self.now_ms)
             self.gate.add_run(run)
