--- a/src/amaranthrail/sidecar/rank.py
+++ b/src/amaranthrail/sidecar/rank.py
@@ -25,7 +25,7 @@
 NO_BALLOT = Ballot(0, -1)
 #: After its start a rank promises nothing for this long, so that what an
 #: earlier incarnation last sent to an engine without fencing has arrived.
-QUIET_MS = 1500.0
+STARTUP_QUIET_MS = 1500.0
 #: A lower rank that sent no order for this long no longer leads.
 LEAD_LEASE_MS = 3000.0
 
@@ -53,7 +53,7 @@
         self._engine = engine
         self._weights = weights
         self._clock = clock
-        self._quiet_until = clock.now() + QUIET_MS
+        self._quiet_until = clock.now() + STARTUP_QUIET_MS
         self._promised = NO_BALLOT
         self._confirming = 0
         self._led_by: tuple[int, float] | None = None
--- a/tests/rankbench.py
+++ b/tests/rankbench.py
@@ -19,14 +19,14 @@
     Coordinator,
     Quorum,
 )
-from amaranthrail.sidecar.rank import QUIET_MS, Rank
+from amaranthrail.sidecar.rank import STARTUP_QUIET_MS, Rank
 from standins.group import MapOrder, RankEngine
 
 RANKS = 4
 EXPERTS = 8
 STEP_S = 0.01
 RUN_S = 20.0
-#: An order to an engine takes effect at most this late; see rank.QUIET_MS.
+#: An order to an engine takes effect at most this late; see rank.STARTUP_QUIET_MS.
 MAX_EFFECT_S = 1.0
 _LATE_S = 8.0
 #: From which step on a rank used which version.
@@ -308,7 +308,7 @@
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(world.step_forever)
-        await trio.sleep(QUIET_MS / 1000)
+        await trio.sleep(STARTUP_QUIET_MS / 1000)
         await _change_once(world, Coordinator(0, RANKS, send))
         assert engine.on_its_way == 1
         world.ranks[last] = world.make_rank(last, engine)
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -89,7 +89,9 @@
 
 
 def test_another_incarnation_refuses() -> None:
-    found = Scene().gate.check_dispatch(build.dispatch('r', 'earlier', clock=10_000))
+    found = Scene().gate.check_dispatch(
+        build.dispatch('r', 'earlier', clock=10_000)
+    )
     assert isinstance(found, Refusal)
     assert found.reason is Reason.WRONG_INCARNATION
 
