--- a/src/amaranthrail/sidecar/__init__.py
+++ b/src/amaranthrail/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""Guard one upstream: queue, run at most once, drain, report load."""
+"""Run beside one upstream: queue, deduplicate, drain and report load."""
--- a/src/amaranthrail/sidecar/coordinator.py
+++ b/src/amaranthrail/sidecar/coordinator.py
@@ -1,4 +1,4 @@
-"""Change a group's expert map so that no step ever runs on two."""
+"""Change a group's expert map so that no step runs with two maps."""
 
 from __future__ import annotations
 
@@ -23,15 +23,20 @@
 )
 from ..policy.experts import ExpertMap
 
-#: How many steps ahead a map is armed, for all ranks to be armed before it.
-STEPS_AHEAD = 20
+#: How many steps ahead of the newest step a map is armed, so that all ranks
+#: have armed it before they reach that step.
+ARM_AHEAD_STEPS = 20
 
-#: Sends an order to a rank; None where no reply came in time.
+#: Sends an order to a rank; returns None if no reply arrives in time.
 SendOrder = Callable[[int, AnyOrder], Awaitable[AnyReply | None]]
 
 
 class ChangeResult(Enum):
-    """Say how far a change of map came."""
+    """Describe how a change of the map, or the recovery of one, ended.
+
+    OUTBID means that a rank has promised an equal or a higher ballot number;
+    RANK_MISSING that a rank did not reply or declined otherwise.
+    """
 
     CONFIRMED = 'confirmed'
     WITHDRAWN = 'withdrawn'
@@ -40,73 +45,76 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Quorum:
-    """Hold every rank's state under one ballot; all ranks are needed."""
+class GroupState:
+    """Hold the state of every rank, as promised to one ballot.
+
+    A ballot needs the promises of all ranks; a majority is not enough.
+    """
 
     ballot: Ballot
     states: tuple[RankState, ...]
 
     @property
     def version(self) -> int:
-        """Return the version that the group uses."""
+        """Return the highest version that any rank uses."""
         return max(state.engine.version for state in self.states)
 
     @property
     def ranks(self) -> tuple[int, ...]:
-        """Return the map that the group uses."""
+        """Return the newest map in use: the rank of each expert."""
         newest = max(self.states, key=lambda state: state.engine.version)
         return newest.engine.ranks
 
     @property
-    def settled(self) -> bool:
-        """Tell whether all ranks use one map and none is armed."""
+    def is_settled(self) -> bool:
+        """Tell whether all ranks use one map and no change is pending."""
         same = {state.engine.version for state in self.states} == {self.version}
-        busy = any(
+        pending = any(
             state.engine.armed or state.engine.joining for state in self.states
         )
-        return same and not busy
+        return same and not pending
 
 
 class Coordinator:
-    """Run ballots for one group; any number may do so at the same time."""
+    """Run ballots for one group; several coordinators may do so at once."""
 
-    def __init__(self, rank: int, ranks: int, send: SendOrder) -> None:
-        """Take the coordinator's own rank and the size of the group."""
+    def __init__(self, rank: int, group_size: int, send: SendOrder) -> None:
+        """Set the coordinator's own rank, the group size and how to send."""
         self._rank = rank
-        self._ranks = ranks
+        self._group_size = group_size
         self._send = send
-        self._number = 0
+        self._ballot_number = 0
 
-    async def gather(self) -> Quorum | ChangeResult:
-        """Have all ranks promise a fresh ballot, then settle what is open.
+    async def collect_promises(self) -> GroupState | ChangeResult:
+        """Have all ranks promise a new ballot, then finish a pending change.
 
-        What an earlier coordinator left armed is confirmed everywhere if any
-        rank has it confirmed, and withdrawn everywhere otherwise; only a
-        group with nothing open is returned.
+        A map that an earlier coordinator left armed is confirmed on all ranks
+        if any rank has confirmed it, and otherwise withdrawn from all. The
+        state is returned only if no change was pending.
         """
-        self._number += 1
-        ballot = Ballot(self._number, self._rank)
-        replies = await self._ask_all(lambda _: Promise(ballot, ''))
-        states = [one for one in replies if isinstance(one, RankState)]
-        if len(states) < self._ranks:
-            return self._note_refusals(replies)
-        quorum = Quorum(ballot, tuple(states))
-        if quorum.settled:
-            return quorum
-        return await self._settle(quorum)
-
-    async def change(
+        self._ballot_number += 1
+        ballot = Ballot(self._ballot_number, self._rank)
+        replies = await self._query_all(lambda _: Promise(ballot, ''))
+        states = [reply for reply in replies if isinstance(reply, RankState)]
+        if len(states) < self._group_size:
+            return self._record_declined(replies)
+        group = GroupState(ballot, tuple(states))
+        if group.is_settled:
+            return group
+        return await self._finish_pending(group)
+
+    async def change_map(
         self,
-        quorum: Quorum,
+        group: GroupState,
         placement: ExpertMap,
         old: ExpertMap,
     ) -> ChangeResult:
-        """Bring a new map into use, at one step for all ranks."""
+        """Switch all ranks from the old map to the placement at one step."""
         moved = placement.moved_from(old)
-        prepared = await self._order_all(
-            quorum,
+        prepared = await self._send_to_all(
+            group,
             lambda state: Prepare(
-                quorum.ballot,
+                group.ballot,
                 state.incarnation,
                 tuple(
                     expert
@@ -117,28 +125,28 @@
         )
         if not prepared:
             return ChangeResult.RANK_MISSING
-        return await self._arm_and_confirm(quorum, placement)
+        return await self._arm_and_confirm(group, placement)
 
     async def _arm_and_confirm(
         self,
-        quorum: Quorum,
+        group: GroupState,
         placement: ExpertMap,
     ) -> ChangeResult:
-        # Preparing took time; the step to arm for follows from where the
-        # ranks are now.
-        replies = await self._ask_all(lambda _: Promise(quorum.ballot, ''))
-        states = [one for one in replies if isinstance(one, RankState)]
-        if len(states) < self._ranks:
-            return self._note_refusals(replies)
-        now = Quorum(quorum.ballot, tuple(states))
-        if not now.settled or now.version != quorum.version:
+        # Fetching the weights took time, so the step to arm for is computed
+        # from the current steps of the ranks.
+        replies = await self._query_all(lambda _: Promise(group.ballot, ''))
+        states = [reply for reply in replies if isinstance(reply, RankState)]
+        if len(states) < self._group_size:
+            return self._record_declined(replies)
+        current = GroupState(group.ballot, tuple(states))
+        if not current.is_settled or current.version != group.version:
             return ChangeResult.WITHDRAWN
-        step = max(state.engine.step for state in states) + STEPS_AHEAD
-        version = now.ballot.fence
-        armed = await self._order_all(
-            now,
+        step = max(state.engine.step for state in states) + ARM_AHEAD_STEPS
+        version = current.ballot.fence
+        armed = await self._send_to_all(
+            current,
             lambda state: Arm(
-                now.ballot,
+                current.ballot,
                 state.incarnation,
                 version,
                 step,
@@ -146,116 +154,126 @@
             ),
         )
         if not armed:
-            await self._order_all(
-                now,
-                lambda state: Withdraw(now.ballot, state.incarnation, version),
+            await self._send_to_all(
+                current,
+                lambda state: Withdraw(
+                    current.ballot, state.incarnation, version
+                ),
             )
             return ChangeResult.WITHDRAWN
-        return await self._confirm(now, version)
+        return await self._confirm(current, version)
 
-    async def _confirm(self, quorum: Quorum, version: int) -> ChangeResult:
-        confirmed = await self._order_all(
-            quorum,
-            lambda state: Confirm(quorum.ballot, state.incarnation, version),
+    async def _confirm(self, group: GroupState, version: int) -> ChangeResult:
+        confirmed = await self._send_to_all(
+            group,
+            lambda state: Confirm(group.ballot, state.incarnation, version),
         )
         if confirmed:
             return ChangeResult.CONFIRMED
         return ChangeResult.RANK_MISSING
 
-    async def _settle(self, quorum: Quorum) -> ChangeResult:
-        armed = max(state.engine.armed for state in quorum.states)
-        pending = [state for state in quorum.states if state.engine.armed]
+    async def _finish_pending(self, group: GroupState) -> ChangeResult:
+        armed_version = max(state.engine.armed for state in group.states)
+        pending = [state for state in group.states if state.engine.armed]
         if not pending:
-            return await self._join(quorum)
-        if any(_is_confirmed(state, armed) for state in quorum.states):
-            done = await self._order_each(
+            return await self._initialize_joining(group)
+        if any(_is_confirmed(state, armed_version) for state in group.states):
+            all_done = await self._send_to_ranks(
                 pending,
-                lambda state: Confirm(quorum.ballot, state.incarnation, armed),
+                lambda state: Confirm(
+                    group.ballot, state.incarnation, armed_version
+                ),
+            )
+            return (
+                ChangeResult.CONFIRMED
+                if all_done
+                else ChangeResult.RANK_MISSING
             )
-            return ChangeResult.CONFIRMED if done else ChangeResult.RANK_MISSING
-        done = await self._order_each(
+        all_done = await self._send_to_ranks(
             pending,
             lambda state: Withdraw(
-                quorum.ballot,
+                group.ballot,
                 state.incarnation,
                 state.engine.armed,
             ),
         )
-        return ChangeResult.WITHDRAWN if done else ChangeResult.RANK_MISSING
+        return ChangeResult.WITHDRAWN if all_done else ChangeResult.RANK_MISSING
 
-    async def _join(self, quorum: Quorum) -> ChangeResult:
-        """Give the group's map to engines that have started anew."""
-        joining = [state for state in quorum.states if state.engine.joining]
-        version = quorum.version
-        armed = await self._order_each(
+    async def _initialize_joining(self, group: GroupState) -> ChangeResult:
+        """Give the group's map to engines that have restarted."""
+        joining = [state for state in group.states if state.engine.joining]
+        version = group.version
+        armed = await self._send_to_ranks(
             joining,
             lambda state: Arm(
-                quorum.ballot,
+                group.ballot,
                 state.incarnation,
                 version,
                 state.engine.step,
-                quorum.ranks,
+                group.ranks,
             ),
         )
-        confirmed = armed and await self._order_each(
+        confirmed = armed and await self._send_to_ranks(
             joining,
-            lambda state: Confirm(quorum.ballot, state.incarnation, version),
+            lambda state: Confirm(group.ballot, state.incarnation, version),
         )
         if confirmed:
             return ChangeResult.CONFIRMED
         return ChangeResult.RANK_MISSING
 
-    async def _order_all(
+    async def _send_to_all(
         self,
-        quorum: Quorum,
-        make: Callable[[RankState], AnyOrder],
+        group: GroupState,
+        make_order: Callable[[RankState], AnyOrder],
     ) -> bool:
-        return await self._order_each(quorum.states, make)
+        return await self._send_to_ranks(group.states, make_order)
 
-    async def _order_each(
+    async def _send_to_ranks(
         self,
         states: Sequence[RankState],
-        make: Callable[[RankState], AnyOrder],
+        make_order: Callable[[RankState], AnyOrder],
     ) -> bool:
-        """Send an order to ranks at once; tell whether all have done it."""
-        by_rank = {state.rank: make(state) for state in states}
-        replies = await self._ask(list(by_rank), by_rank.__getitem__)
-        self._note_refusals(replies)
+        """Send orders in parallel; tell whether every rank replied Done."""
+        by_rank = {state.rank: make_order(state) for state in states}
+        replies = await self._query(list(by_rank), by_rank.__getitem__)
+        self._record_declined(replies)
         return all(isinstance(reply, Done) for reply in replies)
 
-    async def _ask_all(
+    async def _query_all(
         self,
-        make: Callable[[int], AnyOrder],
+        make_order: Callable[[int], AnyOrder],
     ) -> list[AnyReply | None]:
-        return await self._ask(range(self._ranks), make)
+        return await self._query(range(self._group_size), make_order)
 
-    async def _ask(
+    async def _query(
         self,
         ranks: Sequence[int],
-        make: Callable[[int], AnyOrder],
+        make_order: Callable[[int], AnyOrder],
     ) -> list[AnyReply | None]:
         replies: list[AnyReply | None] = []
 
-        async def ask(rank: int) -> None:
-            replies.append(await self._send(rank, make(rank)))
+        async def query(rank: int) -> None:
+            replies.append(await self._send(rank, make_order(rank)))
 
         async with trio.open_nursery() as nursery:
             for rank in ranks:
-                nursery.start_soon(ask, rank)
+                nursery.start_soon(query, rank)
         return replies
 
-    def _note_refusals(
+    def _record_declined(
         self,
         replies: Sequence[AnyReply | None],
     ) -> ChangeResult:
-        """Learn which ballot must be exceeded next time."""
+        """Raise the ballot number to the highest that a rank has promised."""
         outbid = False
         for reply in replies:
             if isinstance(reply, Declined):
-                outbid |= reply.promised.number >= self._number
-                self._number = max(self._number, reply.promised.number)
+                outbid |= reply.promised.number >= self._ballot_number
+                self._ballot_number = max(
+                    self._ballot_number, reply.promised.number
+                )
         return ChangeResult.OUTBID if outbid else ChangeResult.RANK_MISSING
 
 
-def _is_confirmed(state: RankState, armed: int) -> bool:
-    return state.confirmed or state.engine.version == armed
+def _is_confirmed(state: RankState, version: int) -> bool:
+    return state.confirmed or state.engine.version == version
--- a/src/amaranthrail/sidecar/peers.py
+++ b/src/amaranthrail/sidecar/peers.py
@@ -1,4 +1,4 @@
-"""Serve one connection of an entry: take work, send answers, tell load."""
+"""Serve a peer connection: accept work, send responses, report load."""
 
 from __future__ import annotations
 
@@ -37,73 +37,79 @@
 from ..timeline import encode_events
 from ..types import RequestId
 from .gate import DispatchGate
-from .rank import Rank
-from .run import NOTHING_SENT, News, Progress, Run
-from .slots import Slots
+from .rank import RankAcceptor
+from .run import NOTHING_SENT, ChangeListener, Progress, Run
+from .slots import SlotQueue
 from .worker import Worker
 
 _log = part_logger('peers')
 
 
 @dataclass(frozen=True, slots=True)
-class Office:
-    """Hold what all connections of one sidecar share."""
+class SidecarContext:
+    """Hold what all peer connections of one sidecar share.
+
+    ``runs`` is the nursery in which runs execute, so that they outlive the
+    connection that they arrived on; ``rank`` is None outside a group.
+    """
 
     runtime: Runtime
     settings: SidecarSettings
     gate: DispatchGate
-    slots: Slots
+    slots: SlotQueue
     worker: Worker
     runs: trio.Nursery
-    rank: Rank | None = None
+    rank: RankAcceptor | None = None
 
 
-class Connections:
-    """Know each entry's latest connection, so that it replaces earlier ones."""
+class LatestConnections:
+    """Track each peer's latest connection, which replaces earlier ones."""
 
     def __init__(self) -> None:
-        """Start with no connection."""
+        """Start without connections; peers are indexed by incarnation."""
         self._latest: dict[str, tuple[int, trio.CancelScope]] = {}
 
     def replace(self, hello: Hello, scope: trio.CancelScope) -> bool:
-        """Make a connection its entry's only one; tell if it is the latest."""
-        number, earlier = self._latest.get(hello.incarnation, (0, None))
-        if hello.connection <= number:
+        """Cancel a peer's earlier connection; return False if this is older."""
+        latest_number, latest_scope = self._latest.get(
+            hello.incarnation, (0, None)
+        )
+        if hello.connection <= latest_number:
             return False
-        if earlier is not None:
-            earlier.cancel()
+        if latest_scope is not None:
+            latest_scope.cancel()
         self._latest[hello.incarnation] = (hello.connection, scope)
         return True
 
     def remove(self, hello: Hello) -> None:
-        """Forget an entry whose latest connection has ended."""
-        number, _ = self._latest.get(hello.incarnation, (0, None))
-        if hello.connection == number:
+        """Forget a connection that has ended, unless it has been replaced."""
+        latest_number, _ = self._latest.get(hello.incarnation, (0, None))
+        if hello.connection == latest_number:
             del self._latest[hello.incarnation]
 
 
 class PeerConnection:
-    """Serve one entry's connection."""
+    """Serve one connection from an entry or from another rank's sidecar."""
 
     def __init__(
         self,
         link: Link,
-        office: Office,
-        connections: Connections,
+        context: SidecarContext,
+        connections: LatestConnections,
     ) -> None:
-        """Take the fresh connection."""
+        """Set a new connection, before its handshake."""
         self._link = link
-        self._office = office
-        self._runtime = office.runtime
+        self._context = context
+        self._runtime = context.runtime
         self._connections = connections
-        self._sending: dict[str, Callable[[], None]] = {}
+        self._unsubscribe_by_request: dict[str, Callable[[], None]] = {}
 
     async def serve(self) -> None:
-        """Serve the connection until it ends."""
+        """Do the handshake, then exchange frames until the connection ends."""
         hello: Hello | None = None
         try:
             with trio.fail_after(HANDSHAKE_TIMEOUT_S):
-                hello = await self._admit()
+                hello = await self._accept_handshake()
             with trio.CancelScope() as scope:
                 if self._connections.replace(hello, scope):
                     await self._exchange_frames()
@@ -111,17 +117,17 @@
             self._runtime.metrics.count('peer_connections_ended')
             _log.info('connection ended', cause=str(group.exceptions[0]))
         finally:
-            for request in tuple(self._sending):
+            for request in tuple(self._unsubscribe_by_request):
                 self._stop_sending(request)
             if hello is not None:
                 self._connections.remove(hello)
 
-    def announce(self) -> None:
-        """Send a heartbeat now."""
-        self._link.post(self._heartbeat())
+    def send_heartbeat(self) -> None:
+        """Queue a heartbeat now, besides the periodic ones."""
+        self._link.post(self._make_heartbeat())
 
-    async def _admit(self) -> Hello:
-        settings = self._office.settings
+    async def _accept_handshake(self) -> Hello:
+        settings = self._context.settings
         welcome = Welcome(
             b'',
             self._runtime.process,
@@ -134,24 +140,24 @@
 
     async def _exchange_frames(self) -> None:
         link = self._link
-        silence_ms = self._office.settings.silence_ms
+        silence_ms = self._context.settings.silence_ms
         async with trio.open_nursery() as nursery:
             nursery.start_soon(link.run_writer)
             nursery.start_soon(link.watch_silence, silence_ms)
-            nursery.start_soon(self._beat)
+            nursery.start_soon(self._send_heartbeats)
             while True:
-                self._take(await link.receive(), nursery)
+                self._handle_frame(await link.receive(), nursery)
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
-            self._link.post(self._heartbeat())
-            await sleep(self._office.settings.heartbeat_ms)
+            self._link.post(self._make_heartbeat())
+            await sleep(self._context.settings.heartbeat_ms)
 
-    def _heartbeat(self) -> Heartbeat:
+    def _make_heartbeat(self) -> Heartbeat:
         configuration = self._runtime.configuration
-        slots = self._office.slots
-        short = slots.work(long=False)
-        long = slots.work(long=True)
+        slots = self._context.slots
+        short = slots.outstanding_work(long=False)
+        long = slots.outstanding_work(long=True)
         return Heartbeat(
             self._runtime.clock.stamp(),
             self._runtime.clock.now(),
@@ -164,137 +170,145 @@
             int(long.count),
             long.cost_ms,
             slots.count,
-            self._office.gate.leaving,
+            self._context.gate.is_draining,
         )
 
-    def _take(self, frame: AnyFrame, nursery: trio.Nursery) -> None:
+    def _handle_frame(self, frame: AnyFrame, nursery: trio.Nursery) -> None:
         if handle_config_frame(self._link, self._runtime, frame):
             return
         match frame:
             case Dispatch():
                 self._runtime.clock.receive(frame.stamp)
-                self._take_dispatch(frame)
+                self._handle_dispatch(frame)
             case Ack():
-                self._take_ack(frame)
+                self._handle_ack(frame)
             case Resume() | AttemptQuery() | KeyQuery() | Cancel():
-                self._take_question(frame)
+                self._handle_run_frame(frame)
             case EventsRequest():
                 events = self._runtime.timeline.events_after(frame.after)
                 self._link.post(
                     EventsResponse(frame.request, encode_events(events))
                 )
             case GroupOrder():
-                nursery.start_soon(self._take_order, frame)
+                nursery.start_soon(self._handle_order, frame)
             case _:
                 raise FrameError(f'unexpected {type(frame).__name__}')
 
-    async def _take_order(self, frame: GroupOrder) -> None:
-        rank = self._office.rank
+    async def _handle_order(self, frame: GroupOrder) -> None:
+        rank = self._context.rank
         if rank is None:
             self._runtime.metrics.count('group_orders_unexpected')
             return
-        reply = await rank.take(decode_order(frame.payload))
+        reply = await rank.handle_order(decode_order(frame.payload))
         self._link.post(GroupReply(frame.request, encode_order(reply)))
 
-    def _take_question(
+    def _handle_run_frame(
         self,
         frame: Resume | AttemptQuery | KeyQuery | Cancel,
     ) -> None:
-        gate = self._office.gate
+        gate = self._context.gate
         match frame:
             case Resume():
-                run = gate.find(frame.request)
+                run = gate.find_run(frame.request)
                 if run is None:
                     gate.void(frame.request)
                 progress = Progress(frame.received, has_head=frame.has_head)
-                self._answer(frame.request, run, progress)
+                self._send_response(frame.request, run, progress)
             case AttemptQuery():
-                self._take_inquiry(frame)
+                self._handle_attempt_query(frame)
             case KeyQuery():
-                self._take_key_question(frame)
+                self._handle_key_query(frame)
             case Cancel():
                 self._cancel(frame.request)
 
-    def _take_inquiry(self, inquiry: AttemptQuery) -> None:
-        if inquiry.incarnation != self._runtime.incarnation:
-            # What an earlier incarnation ran cannot be known here.
+    def _handle_attempt_query(self, query: AttemptQuery) -> None:
+        if query.incarnation != self._runtime.incarnation:
+            # This incarnation does not know what an earlier one has run.
             stamp = self._runtime.clock.stamp()
             reason = Reason.WRONG_INCARNATION.value
-            self._link.post(Failed(inquiry.request, stamp, reason))
+            self._link.post(Failed(query.request, stamp, reason))
             return
-        run = self._office.gate.find_or_void(inquiry.intent)
-        progress = Progress(inquiry.received)
-        self._answer(inquiry.request, run, progress)
+        run = self._context.gate.find_or_void(query.intent)
+        progress = Progress(query.received)
+        self._send_response(query.request, run, progress)
 
-    def _take_key_question(self, asked: KeyQuery) -> None:
-        run = self._office.gate.find_key(asked.key)
+    def _handle_key_query(self, query: KeyQuery) -> None:
+        run = self._context.gate.find_run_by_key(query.key)
         if run is None:
-            self._refuse(asked.request, Reason.KEY_UNKNOWN, 'never ran here')
+            self._refuse(
+                query.request, Reason.KEY_UNKNOWN, 'no run with this key'
+            )
             return
-        self._answer(asked.request, run)
-
-    def _take_dispatch(self, dispatch: Dispatch) -> None:
-        found = self._office.gate.check_dispatch(dispatch)
-        if isinstance(found, Refusal):
-            if found.reason is Reason.STALE_MANIFEST:
-                self.announce()
-            self._refuse(dispatch.request, found.reason, found.detail)
+        self._send_response(query.request, run)
+
+    def _handle_dispatch(self, dispatch: Dispatch) -> None:
+        run_or_refusal = self._context.gate.check_dispatch(dispatch)
+        if isinstance(run_or_refusal, Refusal):
+            if run_or_refusal.reason is Reason.STALE_MANIFEST:
+                self.send_heartbeat()
+            self._refuse(
+                dispatch.request, run_or_refusal.reason, run_or_refusal.detail
+            )
             return
-        if found is None:
-            found = Run(dispatch, self._runtime.clock.now())
-            self._office.gate.add_run(found)
-            self._office.runs.start_soon(self._office.worker.run, found)
-        self._answer(dispatch.request, found)
-
-    def _answer(
+        if run_or_refusal is None:
+            run_or_refusal = Run(dispatch, self._runtime.clock.now())
+            self._context.gate.add_run(run_or_refusal)
+            self._context.runs.start_soon(
+                self._context.worker.execute, run_or_refusal
+            )
+        self._send_response(dispatch.request, run_or_refusal)
+
+    def _send_response(
         self,
         request: str,
         run: Run | None,
         progress: Progress = NOTHING_SENT,
     ) -> None:
         if run is None:
-            self._refuse(request, Reason.VOIDED, 'never arrived')
+            self._refuse(
+                request, Reason.VOIDED, 'no run with this id; it is now void'
+            )
             return
         self._stop_sending(request)
-        news = self._make_news(RequestId(request), run, progress)
-        stop = run.follow(news)
+        listener = self._make_listener(RequestId(request), run, progress)
+        unsubscribe = run.subscribe(listener)
         if not run.ended:
-            self._sending[request] = stop
+            self._unsubscribe_by_request[request] = unsubscribe
 
-    def _make_news(
+    def _make_listener(
         self,
         request: RequestId,
         run: Run,
         progress: Progress,
-    ) -> News:
-        """Return what posts the part of an answer not posted yet."""
+    ) -> ChangeListener:
+        """Return a function that sends what of a response is not sent yet."""
 
-        def post_news() -> None:
+        def send_new_frames() -> None:
             nonlocal progress
             stamp = self._runtime.clock.stamp()
-            for frame in run.frames(request, progress, stamp):
+            for frame in run.frames_after(request, progress, stamp):
                 self._link.post(frame)
-            progress = Progress(run.length, has_head=run.begun)
+            progress = Progress(run.length, has_head=run.has_head)
             if run.ended:
-                self._sending.pop(request, None)
+                self._unsubscribe_by_request.pop(request, None)
 
-        return post_news
+        return send_new_frames
 
     def _stop_sending(self, request: str) -> None:
-        stop = self._sending.pop(request, None)
-        if stop is not None:
-            stop()
+        unsubscribe = self._unsubscribe_by_request.pop(request, None)
+        if unsubscribe is not None:
+            unsubscribe()
 
-    def _take_ack(self, ack: Ack) -> None:
-        gate = self._office.gate
-        run = gate.find(ack.request)
+    def _handle_ack(self, ack: Ack) -> None:
+        gate = self._context.gate
+        run = gate.find_run(ack.request)
         if run is not None:
             run.acknowledge(ack.received)
         if ack.done:
-            gate.forget(ack.request)
+            gate.discard_run(ack.request)
 
     def _cancel(self, request: str) -> None:
-        run = self._office.gate.find(request)
+        run = self._context.gate.find_run(request)
         if run is None or run.dispatch.intent:
             return
         self._stop_sending(request)
--- a/src/amaranthrail/sidecar/ranklink.py
+++ b/src/amaranthrail/sidecar/rankconnection.py
@@ -1,4 +1,4 @@
-"""Keep a connection to the sidecar of another rank and send it orders."""
+"""Send orders to the sidecar of another rank over one connection."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 
 ORDER_TIMEOUT_MS = 1500.0
 _RECONNECT_MS = 200.0
-#: Orders may wait for weights, which come at the store's rate.
+#: Prepare orders wait for weights, which the store delivers at a limited rate.
 PREPARE_TIMEOUT_MS = 60_000.0
 _connection_numbers = itertools.count(1)
 
 
 @dataclass(slots=True)
-class _Waiter:
+class _PendingReply:
     arrived: trio.Event
     reply: AnyReply | None = None
 
 
-class RankLink:
-    """Send orders to one rank's sidecar."""
+class RankConnection:
+    """Stay connected to one rank's sidecar and match replies to orders."""
 
     def __init__(
         self,
@@ -43,39 +43,43 @@
         settings: SidecarSettings,
         tls: ssl.SSLContext | None,
     ) -> None:
-        """Take where the other sidecar listens."""
+        """Set the peer address of the other sidecar; connect in run."""
         self._address = address
         self._runtime = runtime
         self._settings = settings
         self._tls = tls
         self._link: Link | None = None
-        self._waiters: dict[str, _Waiter] = {}
-        self._requests = itertools.count(1)
+        self._pending: dict[str, _PendingReply] = {}
+        self._request_numbers = itertools.count(1)
 
     @property
     def address(self) -> Address:
-        """Return where the other sidecar listens."""
+        """Return the peer address of the other sidecar."""
         return self._address
 
-    async def order(
+    async def send_order(
         self,
         order: AnyOrder,
         timeout_ms: float,
     ) -> AnyReply | None:
-        """Return the reply to an order, None if there is none in time."""
+        """Return the reply to an order.
+
+        None if there is no connection, or no reply before it ends or the
+        timeout passes.
+        """
         if self._link is None:
             return None
-        request = str(next(self._requests))
-        waiter = _Waiter(trio.Event())
-        self._waiters[request] = waiter
+        request = str(next(self._request_numbers))
+        pending = _PendingReply(trio.Event())
+        self._pending[request] = pending
         self._link.post(GroupOrder(request, encode_order(order)))
         with move_on_after(timeout_ms):
-            await waiter.arrived.wait()
-        del self._waiters[request]
-        return waiter.reply
+            await pending.arrived.wait()
+        del self._pending[request]
+        return pending.reply
 
     async def run(self) -> None:
-        """Stay connected until cancelled."""
+        """Connect, and reconnect after each failure, until cancelled."""
         while True:
             try:
                 stream = await dial(self._address, self._tls)
@@ -87,7 +91,7 @@
             except* (LinkClosedError, FrameError, trio.TooSlowError):
                 self._runtime.metrics.count('rank_connections_ended')
             finally:
-                self._drop()
+                self._disconnect()
                 await trio.aclose_forcefully(stream)
             await sleep(_RECONNECT_MS)
 
@@ -106,20 +110,20 @@
             link,
             self._runtime,
             self._settings,
-            partial(self._take, link),
+            partial(self._handle_frame, link),
         )
 
-    def _take(self, link: Link, frame: AnyFrame) -> None:
+    def _handle_frame(self, link: Link, frame: AnyFrame) -> None:
         if handle_config_frame(link, self._runtime, frame):
             return
         if not isinstance(frame, GroupReply):
             raise FrameError(f'unexpected {type(frame).__name__}')
-        waiter = self._waiters.get(frame.request)
-        if waiter is not None:
-            waiter.reply = decode_reply(frame.payload)
-            waiter.arrived.set()
+        pending = self._pending.get(frame.request)
+        if pending is not None:
+            pending.reply = decode_reply(frame.payload)
+            pending.arrived.set()
 
-    def _drop(self) -> None:
+    def _disconnect(self) -> None:
         self._link = None
-        for waiter in self._waiters.values():
-            waiter.arrived.set()
+        for pending in self._pending.values():
+            pending.arrived.set()
--- a/src/amaranthrail/sidecar/run.py
+++ b/src/amaranthrail/sidecar/run.py
@@ -1,4 +1,4 @@
-"""Hold one request's run and its answer until the entry has it all."""
+"""Buffer the response of one run until its entry has received it."""
 
 from __future__ import annotations
 
@@ -21,19 +21,21 @@
 from ..outcomes import Outcome, Refusal
 from ..types import KEY_HEADER, HeaderList, RequestId, qualified_key
 
-#: Bytes read from the upstream beyond what the entry has acknowledged.
+#: Bytes of an idempotent response that are read from the upstream ahead of
+#: what the entry has acknowledged.
 WINDOW_BYTES = 262_144
-#: Keyed answers are kept whole, for late askers, up to this size.
-MAX_KEYED_BYTES = 1_048_576
-#: Called after a run has changed.
-News = Callable[[], None]
+#: Bound, in bytes, on the response to keyed work. It is kept whole because an
+#: entry may query it later.
+MAX_KEYED_RESPONSE_BYTES = 1_048_576
+#: Called after each change of a run.
+ChangeListener = Callable[[], None]
 
 
 @dataclass(frozen=True, slots=True)
 class Progress:
-    """Say how much of an answer an entry has."""
+    """Say how much of a response an entry has, in bytes of its body."""
 
-    sent: int = 0
+    sent_bytes: int = 0
     has_head: bool = False
 
 
@@ -41,33 +43,36 @@
 
 
 class Run:
-    """Buffer one answer; entries may read it again from any kept byte."""
+    """Hold one execution of a request at the upstream, with its response.
+
+    Entries may read the response from any byte that is still buffered.
+    """
 
     def __init__(self, dispatch: Dispatch, arrived_at: float) -> None:
-        """Take the request and when it arrived, in monotonic milliseconds."""
+        """Set the request and its arrival time, in monotonic milliseconds."""
         self._dispatch = dispatch
         self._arrived_at = arrived_at
         self._finished_at: float | None = None
         self._started = False
         self._status = 0
         self._headers: HeaderList = ()
-        self._kept = bytearray()
-        self._dropped = 0
+        self._buffer = bytearray()
+        self._dropped_bytes = 0
         self._digest = xxhash.xxh3_64()
-        self._whole = False
+        self._complete = False
         self._failure: Refusal | None = None
         self._scope = trio.CancelScope()
         self._acknowledged = trio.Event()
-        self._followers: list[News] = []
+        self._listeners: list[ChangeListener] = []
 
     @property
     def dispatch(self) -> Dispatch:
-        """Return the request."""
+        """Return the frame that asked for this run."""
         return self._dispatch
 
     @property
     def key(self) -> str:
-        """Return the caller's key, qualified by its organisation."""
+        """Return the idempotency key, qualified by the organisation."""
         return qualified_key(
             self._dispatch.organisation,
             dict(self._dispatch.headers).get(KEY_HEADER, ''),
@@ -75,7 +80,7 @@
 
     @property
     def scope(self) -> trio.CancelScope:
-        """Return the scope that stops the run."""
+        """Return the scope whose cancellation stops the run."""
         return self._scope
 
     @property
@@ -85,12 +90,12 @@
 
     @property
     def deadline(self) -> float:
-        """Return when the caller stops waiting, in monotonic milliseconds."""
+        """Return the caller's deadline, in monotonic milliseconds."""
         return self._arrived_at + self._dispatch.left_ms
 
     @property
     def finished_at(self) -> float | None:
-        """Return when the run ended, None while it goes on."""
+        """Return when the run ended, in monotonic ms, None before that."""
         return self._finished_at
 
     @property
@@ -99,131 +104,142 @@
         return self._started
 
     @property
-    def begun(self) -> bool:
-        """Tell whether the answer has begun."""
+    def has_head(self) -> bool:
+        """Tell whether the status and header fields have arrived."""
         return bool(self._status)
 
     @property
     def failure(self) -> Refusal | None:
-        """Return why there is no whole answer, if so."""
+        """Return why the response is not complete, None without a failure."""
         return self._failure
 
     @property
     def length(self) -> int:
-        """Return how many bytes of the body have arrived."""
-        return self._dropped + len(self._kept)
+        """Return how many bytes of the response body have arrived."""
+        return self._dropped_bytes + len(self._buffer)
 
     @property
     def ended(self) -> bool:
-        """Tell whether the run is over."""
-        return self._whole or self._failure is not None
+        """Tell whether the response is complete or the run has failed."""
+        return self._complete or self._failure is not None
 
     def mark_started(self) -> None:
-        """Note that the upstream is about to see the request."""
+        """Record that the request is about to be sent to the upstream."""
         self._started = True
 
-    def begin(self, status: int, headers: HeaderList) -> None:
-        """Keep the answer's head."""
+    def set_head(self, status: int, headers: HeaderList) -> None:
+        """Set the status and header fields, and notify the listeners."""
         self._status = status
         self._headers = headers
         self._notify()
 
-    def add(self, payload: bytes) -> None:
-        """Keep more of the body."""
+    def append_body(self, payload: bytes) -> None:
+        """Buffer the next bytes of the body, and notify the listeners."""
         self._digest.update(payload)
-        self._kept += payload
+        self._buffer += payload
         self._notify()
 
     def complete(self, now: float) -> None:
-        """Note that the whole answer is here."""
-        self._whole = True
+        """End the run with a complete response, at monotonic milliseconds."""
+        self._complete = True
         self._finish(now)
 
     def fail(self, failure: Refusal, now: float) -> None:
-        """End the run without a whole answer."""
+        """End the run, unless it has ended, without a complete response."""
         if not self.ended:
             self._failure = failure
             self._finish(now)
 
     def acknowledge(self, received: int) -> None:
-        """Drop what the entry has; keyed answers stay for late askers."""
+        """Drop the first ``received`` bytes of the body from the buffer.
+
+        The response to keyed work is kept whole for later queries.
+        """
         if self._dispatch.intent:
             return
-        surplus = min(received, self.length) - self._dropped
+        surplus = min(received, self.length) - self._dropped_bytes
         if surplus > 0:
-            del self._kept[:surplus]
-            self._dropped += surplus
+            del self._buffer[:surplus]
+            self._dropped_bytes += surplus
             self._acknowledged.set()
             self._acknowledged = trio.Event()
 
-    async def wait_window(self) -> None:
-        """Return once the entry has taken enough to read on."""
-        while len(self._kept) > self._limit():
+    async def wait_for_window(self) -> None:
+        """Wait until acknowledgements leave room in the buffer."""
+        while len(self._buffer) > self._max_buffer():
             await self._acknowledged.wait()
 
-    def follow(self, news: News) -> Callable[[], None]:
-        """Call back now and after each change; return what ends that.
+    def subscribe(self, listener: ChangeListener) -> Callable[[], None]:
+        """Call a listener now and after each change; return how to stop it.
 
-        Called back at once and not in a task of its own, an answer leaves
-        one turn of the scheduler earlier.
+        The listener is called directly and not from a task of its own, which
+        sends a response one scheduler turn earlier.
         """
-        news()
+        listener()
         if self.ended:
-            return _nothing
-        self._followers.append(news)
-        return partial(self._leave, news)
+            return _no_subscription
+        self._listeners.append(listener)
+        return partial(self._unsubscribe, listener)
 
-    def frames(
+    def frames_after(
         self,
         request: RequestId,
         progress: Progress,
         stamp: int,
     ) -> list[Frame]:
-        """Return what the entry does not have yet, under an id."""
+        """Return the frames that an entry lacks, with its request id."""
         failure = self._failure
         if failure is not None and failure.outcome is Outcome.NOT_RUN:
-            return [_refused(request, stamp, failure)]
-        found: list[Frame] = []
+            return [_refused_frame(request, stamp, failure)]
+        frames: list[Frame] = []
         if self._status and not progress.has_head:
-            found.append(
+            frames.append(
                 ResponseHead(request, stamp, self._status, self._headers)
             )
-        payload = bytes(self._kept[max(0, progress.sent - self._dropped) :])
+        payload = bytes(
+            self._buffer[max(0, progress.sent_bytes - self._dropped_bytes) :]
+        )
         if payload:
-            found.append(
+            frames.append(
                 ResponseData(request, self.length - len(payload), payload)
             )
-        if self._whole:
+        if self._complete:
             digest = self._digest.intdigest()
-            found.append(ResponseEnd(request, stamp, self.length, digest))
+            frames.append(ResponseEnd(request, stamp, self.length, digest))
         if failure is not None:
-            found.append(
+            frames.append(
                 Failed(request, stamp, failure.reason.value, failure.detail),
             )
-        return found
+        return frames
 
-    def _limit(self) -> int:
-        return MAX_KEYED_BYTES if self._dispatch.intent else WINDOW_BYTES
+    def _max_buffer(self) -> int:
+        return (
+            MAX_KEYED_RESPONSE_BYTES if self._dispatch.intent else WINDOW_BYTES
+        )
 
     def _finish(self, now: float) -> None:
         self._finished_at = now
         self._notify()
-        self._followers.clear()
+        self._listeners.clear()
 
     def _notify(self) -> None:
-        for news in tuple(self._followers):
-            news()
+        for listener in tuple(self._listeners):
+            listener()
 
-    def _leave(self, news: News) -> None:
-        if news in self._followers:
-            self._followers.remove(news)
+    def _unsubscribe(self, listener: ChangeListener) -> None:
+        if listener in self._listeners:
+            self._listeners.remove(listener)
 
 
-def _nothing() -> None:
-    """End the following of a run that had ended before."""
+def _no_subscription() -> None:
+    """Stand for the end of a subscription to a run that had ended before."""
 
 
-def _refused(request: RequestId, stamp: int, failure: Refusal) -> Refused:
+def _refused_frame(
+    request: RequestId,
+    stamp: int,
+    failure: Refusal,
+) -> Refused:
     return Refused(
         request,
         stamp,
--- a/src/amaranthrail/sidecar/service.py
+++ b/src/amaranthrail/sidecar/service.py
@@ -1,4 +1,4 @@
-"""Run a sidecar: wire its parts, serve peers, leave without cutting off."""
+"""Run a sidecar process: serve peers and shut down gracefully."""
 
 from __future__ import annotations
 
@@ -30,23 +30,23 @@
 from ..types import DomainName, ProcessName
 from .gate import DispatchGate
 from .group import GroupMember
-from .peers import Connections, Office, PeerConnection
-from .rank import Rank
-from .slots import Slots
+from .peers import LatestConnections, PeerConnection, SidecarContext
+from .rank import RankAcceptor
+from .slots import SlotQueue
 from .worker import Worker
 
 _SWEEP_MS = 1000.0
-_CHECK_MS = 20.0
-_MAX_ADMIN_BODY = 1024
+_DRAIN_POLL_MS = 20.0
+_MAX_ADMIN_BODY_BYTES = 1024
 _NOT_FOUND = 404
 _log = part_logger('sidecar')
 
 
 class Sidecar:
-    """Own the parts of one sidecar process."""
+    """Create and run the parts of one sidecar process."""
 
     def __init__(self, settings: SidecarSettings) -> None:
-        """Take the checked settings."""
+        """Set the checked settings and create the parts, opening nothing."""
         self._settings = settings
         self._runtime = Runtime(
             ProcessName(settings.name),
@@ -58,55 +58,59 @@
             self._runtime.clock,
             self._runtime.configuration,
         )
-        self._slots = Slots(self._runtime.clock, settings.slots)
+        self._slots = SlotQueue(self._runtime.clock, settings.slots)
         self._worker = Worker(
             self._runtime,
             self._slots,
             HttpClient(settings.upstream_address),
         )
-        self._connections = Connections()
+        self._connections = LatestConnections()
         self._peers: set[PeerConnection] = set()
         self._group = self._make_group()
         self._stopping = trio.Event()
-        self._runtime.configuration.on_change(self._configure)
+        self._runtime.configuration.on_change(self._apply_manifest)
 
     @property
     def runtime(self) -> Runtime:
-        """Return what the parts of the process share."""
+        """Return the clock, metrics and configuration of the process."""
         return self._runtime
 
     def stop(self) -> None:
-        """Begin to leave: refuse new work, finish what runs."""
+        """Start a graceful shutdown: refuse new work, finish running work."""
         self._stopping.set()
 
     async def run(
         self,
         task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Serve until stopped and until the last answer has been taken.
+        """Serve until stopped, then until no response is undelivered.
 
-        Reports the peer port once it listens.
+        A response is undelivered until its entry acknowledges it or its
+        retention time ends. The setting ``shutdown_ms`` bounds the wait.
+        Passes the peer port to ``task_status`` once it listens.
         """
         settings = self._settings
         peer_listeners = await open_listeners(settings.listen, '--listen')
-        admin = await open_listeners(settings.admin_listen, '--admin-listen')
+        admin_listeners = await open_listeners(
+            settings.admin_listen, '--admin-listen'
+        )
         self._runtime.timeline.add('started', settings.upstream)
         _log.info('serving peers', upstream=settings.upstream)
         async with trio.open_nursery() as nursery:
-            office = self._office(nursery)
-            nursery.start_soon(self._listen_peers, peer_listeners, office)
-            nursery.start_soon(self._listen_admin, admin)
+            context = self._make_context(nursery)
+            nursery.start_soon(self._accept_peers, peer_listeners, context)
+            nursery.start_soon(self._accept_admin_clients, admin_listeners)
             nursery.start_soon(self._sweep)
             if self._group is not None:
                 nursery.start_soon(self._group.run)
             task_status.started(peer_listeners[0].socket.getsockname()[1])
             await self._stopping.wait()
-            await self._leave()
+            await self._shut_down()
             nursery.cancel_scope.cancel()
         _log.info('ended')
 
-    def _office(self, runs: trio.Nursery) -> Office:
-        return Office(
+    def _make_context(self, runs: trio.Nursery) -> SidecarContext:
+        return SidecarContext(
             self._runtime,
             self._settings,
             self._gate,
@@ -120,7 +124,7 @@
         settings = self._settings
         if not settings.group:
             return None
-        rank = Rank(
+        rank = RankAcceptor(
             settings.rank,
             self._runtime.incarnation,
             HttpRankEngine(settings.upstream_address),
@@ -136,85 +140,91 @@
             None if files is None else client_context(files),
         )
 
-    def _configure(self, in_force: ActiveManifest) -> None:
-        self._runtime.metrics.gauge('manifest_version', in_force.version)
+    def _apply_manifest(self, active: ActiveManifest) -> None:
+        self._runtime.metrics.gauge('manifest_version', active.version)
         for peer in tuple(self._peers):
-            peer.announce()
-        for service in in_force.manifest.services:
+            peer.send_heartbeat()
+        for service in active.manifest.services:
             if service.name == self._settings.service:
                 self._slots.configure(service.slots, service.policies)
                 return
         self._slots.configure(self._settings.slots, Policies())
 
-    def _tls(self) -> ssl.SSLContext | None:
+    def _peer_tls_context(self) -> ssl.SSLContext | None:
         files = self._settings.peer_tls
         return None if files is None else server_context(files)
 
-    async def _listen_peers(
+    async def _accept_peers(
         self,
         listeners: list[trio.SocketListener],
-        office: Office,
+        context: SidecarContext,
     ) -> None:
         async def serve(stream: trio.abc.Stream) -> None:
             async with stream:
-                await self._serve_peer(stream, office)
+                await self._serve_peer(stream, context)
 
-        await trio.serve_listeners(secured(serve, self._tls()), listeners)
+        await trio.serve_listeners(
+            secured(serve, self._peer_tls_context()), listeners
+        )
 
     async def _serve_peer(
         self,
         stream: trio.abc.Stream,
-        office: Office,
+        context: SidecarContext,
     ) -> None:
         link = Link(stream, self._runtime.clock)
-        peer = PeerConnection(link, office, self._connections)
+        peer = PeerConnection(link, context, self._connections)
         self._peers.add(peer)
         try:
             await peer.serve()
         finally:
             self._peers.discard(peer)
 
-    async def _listen_admin(
+    async def _accept_admin_clients(
         self,
         listeners: list[trio.SocketListener],
     ) -> None:
-        state = ServerState(lambda: ServerLimits(_MAX_ADMIN_BODY))
+        state = ServerState(lambda: ServerLimits(_MAX_ADMIN_BODY_BYTES))
 
         async def serve(stream: trio.abc.Stream) -> None:
-            await serve_connection(stream, self._administer, state)
+            await serve_connection(stream, self._handle_admin_request, state)
 
         await trio.serve_listeners(serve, listeners)
 
-    async def _administer(self, request: HttpRequest, reply: Reply) -> None:
+    async def _handle_admin_request(
+        self, request: HttpRequest, reply: Reply
+    ) -> None:
         match request.path:
             case '/healthz':
                 await send_alive(reply)
             case '/readyz':
-                await send_ready(reply, ready=not self._gate.leaving)
+                await send_ready(reply, ready=not self._gate.is_draining)
             case '/metrics':
-                self._gauge()
+                self._update_gauges()
                 await send_metrics(reply, self._runtime.metrics)
             case _:
                 await send_json(reply, _NOT_FOUND, {'title': 'not found'})
 
-    def _gauge(self) -> None:
+    def _update_gauges(self) -> None:
         metrics = self._runtime.metrics
         metrics.gauge('queued', self._slots.queued)
         metrics.gauge('running', self._slots.running)
-        metrics.gauge('remembered_runs', self._gate.remembered)
+        metrics.gauge('remembered_runs', self._gate.record_count)
 
     async def _sweep(self) -> None:
         while True:
             await sleep(_SWEEP_MS)
             self._gate.sweep()
 
-    async def _leave(self) -> None:
-        self._gate.leave()
+    async def _shut_down(self) -> None:
+        self._gate.start_shutdown()
         self._runtime.timeline.add('leaving', self._settings.upstream)
-        _log.info('leaving', unfinished=len(self._gate.unfinished()))
+        _log.info('leaving', unfinished=len(self._gate.unfinished_runs()))
         for peer in tuple(self._peers):
-            peer.announce()
+            peer.send_heartbeat()
         with move_on_after(self._settings.shutdown_ms):
-            while self._gate.unfinished() or self._gate.untaken():
-                await sleep(_CHECK_MS)
+            while (
+                self._gate.unfinished_runs() or self._gate.count_undelivered()
+            ):
+                await sleep(_DRAIN_POLL_MS)
                 self._gate.sweep()
--- a/src/amaranthrail/sidecar/slots.py
+++ b/src/amaranthrail/sidecar/slots.py
@@ -1,4 +1,4 @@
-"""Give out the upstream's slots in the order that the policy chooses."""
+"""Limit concurrency at the upstream and queue work by the queue policy."""
 
 from __future__ import annotations
 
@@ -12,78 +12,86 @@
 from ..policy.loads import Work
 from ..policy.queueing import QueueOrder, Waiting, make_queue_order
 
-#: Work that outruns its estimate is expected to take this share of it still.
-_LEAST_LEFT = 0.1
+#: Least time left that is expected of running work, as a share of its cost
+#: estimate. It applies to work that runs for about as long as estimated or
+#: longer.
+_MIN_SHARE_LEFT = 0.1
 
 
-class Slots:
-    """Queue work for a fixed number of slots."""
+class SlotQueue:
+    """Queue work for the slots of one upstream.
+
+    A slot is the right to run one request; the manifest sets their number.
+    """
 
     def __init__(self, clock: Clock, count: int) -> None:
-        """Take the number of requests that the upstream runs at a time."""
+        """Set how many requests the upstream may run at a time."""
         self._clock = clock
         self._count = count
-        self._order: QueueOrder = make_queue_order(Policies())
+        self._queue_order: QueueOrder = make_queue_order(Policies())
         self._waiting: list[Waiting] = []
-        self._turns: list[trio.Event] = []
+        self._grants: list[trio.Event] = []
         self._running: dict[int, tuple[Waiting, float]] = {}
         self._running_long = 0
 
     @property
     def count(self) -> int:
-        """Return the number of slots."""
+        """Return how many requests the upstream may run at a time."""
         return self._count
 
     @property
     def queued(self) -> int:
-        """Return how much work waits."""
+        """Return how many requests wait for a slot."""
         return len(self._waiting)
 
     @property
     def running(self) -> int:
-        """Return how much work runs."""
+        """Return how many requests hold a slot."""
         return len(self._running)
 
     def configure(self, count: int, policies: Policies) -> None:
-        """Take the slots and the policy of a new manifest."""
+        """Apply the slot count and the queue policy of a new manifest."""
         self._count = count
-        self._order = make_queue_order(policies)
+        self._queue_order = make_queue_order(policies)
         self._start_next()
 
-    def work(self, *, long: bool) -> Work:
-        """Return the work of one kind that waits and runs, with time left."""
+    def outstanding_work(self, *, long: bool) -> Work:
+        """Return the queued and running short or long work, with time left."""
         now = self._clock.now()
-        costs = [one.cost_ms for one in self._waiting if one.long is long]
+        costs = [work.cost_ms for work in self._waiting if work.long is long]
         costs += [
-            max(_LEAST_LEFT * one.cost_ms, one.cost_ms - (now - since))
-            for one, since in self._running.values()
-            if one.long is long
+            max(
+                _MIN_SHARE_LEFT * work.cost_ms,
+                work.cost_ms - (now - started_at),
+            )
+            for work, started_at in self._running.values()
+            if work.long is long
         ]
         return Work(len(costs), sum(costs))
 
     @asynccontextmanager
-    async def hold(self, work: Waiting) -> AsyncIterator[None]:
-        """Wait for a slot and hold it; leaving the queue is by cancel."""
-        await self._wait_turn(work)
+    async def hold_slot(self, work: Waiting) -> AsyncIterator[None]:
+        """Wait for a slot and hold it; cancelling the wait leaves the queue."""
+        await self._wait_for_slot(work)
         try:
             yield
         finally:
             self._release(work)
 
-    async def _wait_turn(self, work: Waiting) -> None:
-        turn = trio.Event()
+    async def _wait_for_slot(self, work: Waiting) -> None:
+        granted = trio.Event()
         self._waiting.append(work)
-        self._turns.append(turn)
+        self._grants.append(granted)
         self._start_next()
-        if turn.is_set():
+        if granted.is_set():
             return
         try:
-            await turn.wait()
+            await granted.wait()
         except trio.Cancelled:
-            if turn.is_set():
+            if granted.is_set():
                 self._release(work)
             else:
-                self._remove(turn)
+                self._dequeue(granted)
             raise
 
     def _release(self, work: Waiting) -> None:
@@ -91,24 +99,24 @@
         self._running_long -= work.long
         self._start_next()
 
-    def _remove(self, turn: trio.Event) -> None:
-        index = self._turns.index(turn)
-        del self._turns[index]
+    def _dequeue(self, granted: trio.Event) -> None:
+        index = self._grants.index(granted)
+        del self._grants[index]
         del self._waiting[index]
         self._start_next()
 
     def _start_next(self) -> None:
         while self.running < self._count:
             now = self._clock.now()
-            chosen = self._order(
+            index = self._queue_order(
                 self._waiting,
                 self._running_long,
                 self._count,
                 now,
             )
-            if chosen is None:
+            if index is None:
                 return
-            work = self._waiting.pop(chosen)
+            work = self._waiting.pop(index)
             self._running[id(work)] = (work, now)
             self._running_long += work.long
-            self._turns.pop(chosen).set()
+            self._grants.pop(index).set()
--- a/src/amaranthrail/sidecar/worker.py
+++ b/src/amaranthrail/sidecar/worker.py
@@ -1,4 +1,4 @@
-"""Run requests against the upstream, each in its slot."""
+"""Send requests to the upstream, each while it holds a slot."""
 
 from __future__ import annotations
 
@@ -14,12 +14,13 @@
 from ..policy.queueing import Waiting
 from ..runtime import Runtime
 from ..types import HeaderList
-from .run import MAX_KEYED_BYTES, Run
-from .slots import Slots
+from .run import MAX_KEYED_RESPONSE_BYTES, Run
+from .slots import SlotQueue
 
-#: Silence of the upstream in the middle of an answer that counts as broken.
-UPSTREAM_SILENCE_MS = 15_000.0
-_HOP_HEADERS = frozenset(
+#: Time limit of one exchange with the upstream for keyed work. Idempotent work
+#: is bounded by the caller's deadline instead.
+KEYED_EXCHANGE_TIMEOUT_MS = 15_000.0
+_HOP_BY_HOP_HEADERS = frozenset(
     (
         'connection',
         'content-length',
@@ -36,137 +37,148 @@
 
 
 class Worker:
-    """Run what the gate lets in."""
+    """Queue admitted runs for a slot and send them to the upstream."""
 
     def __init__(
         self,
         runtime: Runtime,
-        slots: Slots,
+        slots: SlotQueue,
         upstream: HttpClient,
     ) -> None:
-        """Take the upstream and its slots."""
+        """Set the slots to wait for and the client of the upstream."""
         self._runtime = runtime
         self._slots = slots
         self._upstream = upstream
 
-    async def run(self, run: Run) -> None:
-        """Run one request to its end, whatever that is."""
+    async def execute(self, run: Run) -> None:
+        """Carry a run to its end: a complete response or a failure."""
         with run.scope:
             run.scope.deadline = (
                 trio.current_time() + run.dispatch.left_ms / MS_PER_SECOND
             )
-            await self._queue_and_call(run)
+            await self._wait_and_send(run)
         if not run.ended:
-            self._fail(run, _cut_short(run))
-        self._note_end(run)
+            self._fail(run, _expired_refusal(run))
+        self._record_end(run)
 
-    async def _queue_and_call(self, run: Run) -> None:
+    async def _wait_and_send(self, run: Run) -> None:
         work = Waiting(
             run.arrived_at,
             run.dispatch.cost_ms,
             run.dispatch.long,
         )
-        async with self._slots.hold(work):
-            waited = self._runtime.clock.now() - run.arrived_at
-            self._runtime.metrics.latency('queue_wait').record(waited)
-            if self._is_too_late(run):
-                detail = 'too little time was left at its turn'
+        async with self._slots.hold_slot(work):
+            waited_ms = self._runtime.clock.now() - run.arrived_at
+            self._runtime.metrics.latency('queue_wait').record(waited_ms)
+            if self._would_miss_deadline(run):
+                detail = 'less time was left than the request takes'
                 self._fail(run, not_run(Reason.EXPIRED, detail))
                 return
-            await self._call(run)
+            await self._send(run)
 
-    def _is_too_late(self, run: Run) -> bool:
-        """Tell whether the work would only take a slot from work in time."""
+    def _would_miss_deadline(self, run: Run) -> bool:
+        """Tell whether the time left is shorter than the cost estimate.
+
+        Such work would occupy a slot that other work can still use in time.
+        """
         left_ms = run.deadline - self._runtime.clock.now()
         return left_ms < run.dispatch.cost_ms
 
-    async def _call(self, run: Run) -> None:
-        # A keyed run goes on past its deadline once it has started: its
-        # outcome must be learnt, and cutting it off would not undo it.
+    async def _send(self, run: Run) -> None:
+        # A keyed run that has started is not stopped at its deadline: its
+        # outcome must be known, and stopping it would not undo its effect.
         run.mark_started()
         if run.dispatch.intent:
             run.scope.deadline = float('inf')
             self._runtime.timeline.add('run-started', run.dispatch.intent)
         try:
-            await self._relay_retrying(run)
+            await self._exchange_with_retry(run)
         except HttpError as error:
-            self._fail(run, _refusal_of(error))
+            self._fail(run, _refusal_from(error))
+
+    async def _exchange_with_retry(self, run: Run) -> None:
+        """Exchange once; repeat if the pooled connection had been closed.
 
-    async def _relay_retrying(self, run: Run) -> None:
-        """Relay the answer; a pooled connection may have been closed."""
+        Keyed work always uses a new connection and is never repeated.
+        """
         if run.dispatch.intent:
-            await self._relay(run, fresh=True)
+            await self._exchange(run, fresh=True)
             return
         try:
-            await self._relay(run, fresh=False)
+            await self._exchange(run, fresh=False)
         except HttpError as error:
-            if run.begun or not error.pooled:
+            if run.has_head or not error.pooled:
                 raise
-            await self._relay(run, fresh=True)
+            await self._exchange(run, fresh=True)
 
-    async def _relay(self, run: Run, *, fresh: bool) -> None:
+    async def _exchange(self, run: Run, *, fresh: bool) -> None:
         dispatch = run.dispatch
-        with move_on_after(_head_bound(run)):
+        with move_on_after(_exchange_timeout_ms(run)):
             async with self._upstream.exchange(
                 dispatch.method,
                 dispatch.target,
-                forwarded_headers(dispatch.headers),
+                end_to_end_headers(dispatch.headers),
                 dispatch.body,
                 fresh=fresh,
             ) as exchange:
-                run.begin(exchange.status, forwarded_headers(exchange.headers))
-                await self._relay_body(run, exchange)
+                run.set_head(
+                    exchange.status, end_to_end_headers(exchange.headers)
+                )
+                await self._read_body(run, exchange)
 
-    async def _relay_body(self, run: Run, exchange: HttpExchange) -> None:
+    async def _read_body(self, run: Run, exchange: HttpExchange) -> None:
         async with aclosing(exchange.parts()) as parts:
             async for part in parts:
-                run.add(part)
-                if run.dispatch.intent and run.length > MAX_KEYED_BYTES:
-                    detail = f'over {MAX_KEYED_BYTES} bytes'
+                run.append_body(part)
+                if (
+                    run.dispatch.intent
+                    and run.length > MAX_KEYED_RESPONSE_BYTES
+                ):
+                    detail = f'over {MAX_KEYED_RESPONSE_BYTES} bytes'
                     self._fail(
                         run,
                         unknown_outcome(Reason.ANSWER_TOO_LARGE, detail),
                     )
                     return
-                await run.wait_window()
+                await run.wait_for_window()
         run.complete(self._runtime.clock.now())
 
     def _fail(self, run: Run, failure: Refusal) -> None:
         run.fail(failure, self._runtime.clock.now())
 
-    def _note_end(self, run: Run) -> None:
-        ended_as = 'whole'
+    def _record_end(self, run: Run) -> None:
+        end_reason = 'whole'
         if run.failure is not None:
-            ended_as = run.failure.reason.value
+            end_reason = run.failure.reason.value
             _log.info(
                 'run failed',
                 request=run.dispatch.request,
-                reason=ended_as,
+                reason=end_reason,
                 detail=run.failure.detail,
             )
-        self._runtime.metrics.count('runs', ended=ended_as)
+        self._runtime.metrics.count('runs', ended=end_reason)
         if run.dispatch.intent:
             self._runtime.timeline.add(
                 'run-ended',
                 run.dispatch.intent,
-                ended_as,
+                end_reason,
             )
 
 
-def _head_bound(run: Run) -> float:
+def _exchange_timeout_ms(run: Run) -> float:
     if run.dispatch.intent:
-        return UPSTREAM_SILENCE_MS
+        return KEYED_EXCHANGE_TIMEOUT_MS
     return float('inf')
 
 
-def _refusal_of(error: HttpError) -> Refusal:
+def _refusal_from(error: HttpError) -> Refusal:
     if error.sent:
         return unknown_outcome(Reason.UPSTREAM_BROKEN, str(error))
     return not_run(Reason.UPSTREAM_UNREACHABLE, str(error))
 
 
-def _cut_short(run: Run) -> Refusal:
-    """Return what became of a run that was cancelled or ran out of time."""
+def _expired_refusal(run: Run) -> Refusal:
+    """Return the failure of a run that was cancelled or passed its deadline."""
     if run.started:
         return unknown_outcome(
             Reason.EXPIRED, 'the upstream did not finish in time'
@@ -174,6 +186,8 @@
     return not_run(Reason.EXPIRED, 'the deadline passed before the start')
 
 
-def forwarded_headers(headers: HeaderList) -> HeaderList:
-    """Return the end-to-end fields among header fields."""
-    return tuple(pair for pair in headers if pair[0] not in _HOP_HEADERS)
+def end_to_end_headers(headers: HeaderList) -> HeaderList:
+    """Return header fields without the hop-by-hop ones of a connection."""
+    return tuple(
+        field for field in headers if field[0] not in _HOP_BY_HOP_HEADERS
+    )
--- a/tests/rankbench.py
+++ b/tests/rankbench.py
@@ -17,16 +17,17 @@
 from amaranthrail.sidecar.coordinator import (
     ChangeResult,
     Coordinator,
-    Quorum,
+    GroupState,
 )
-from amaranthrail.sidecar.rank import STARTUP_QUIET_MS, Rank
+from amaranthrail.sidecar.rank import STARTUP_QUIET_MS, RankAcceptor
 from standins.group import MapOrder, RankEngine
 
 RANKS = 4
 EXPERTS = 8
 STEP_S = 0.01
 RUN_S = 20.0
-#: An order to an engine takes effect at most this late; see rank.STARTUP_QUIET_MS.
+#: Longest delay, in seconds, before an order takes effect at an engine; it is
+#: less than rank.STARTUP_QUIET_MS.
 MAX_EFFECT_S = 1.0
 _LATE_S = 8.0
 #: From which step on a rank used which version.
@@ -71,10 +72,12 @@
         self,
         number: int,
         engine: MemoryEngine | None = None,
-    ) -> Rank:
+    ) -> RankAcceptor:
         clock = Clock(trio.current_time, trio.current_time)
         port = engine or MemoryEngine(self, self.engines[number])
-        return Rank(number, new_incarnation(), port, MemoryWeights(), clock)
+        return RankAcceptor(
+            number, new_incarnation(), port, MemoryWeights(), clock
+        )
 
     def goes_wrong(self, kind: str) -> bool:
         if self.random.random() >= getattr(self.trouble, kind):
@@ -122,13 +125,15 @@
         coordinator = Coordinator(number, RANKS, send)
         while True:
             await trio.sleep(self.random.uniform(0.05, 0.5))
-            gathered = await coordinator.gather()
+            gathered = await coordinator.collect_promises()
             if isinstance(gathered, ChangeResult):
                 self.results.append(gathered)
                 continue
             ranks = tuple(self.random.randrange(RANKS) for _ in range(EXPERTS))
             old = ExpertMap(gathered.ranks)
-            result = await coordinator.change(gathered, ExpertMap(ranks), old)
+            result = await coordinator.change_map(
+                gathered, ExpertMap(ranks), old
+            )
             self.results.append(result)
 
     async def send(
@@ -145,12 +150,12 @@
             return None
         reply: AnyReply | None = None
         with trio.move_on_after(1.5):
-            reply = await self.ranks[rank].take(order)
+            reply = await self.ranks[rank].handle_order(order)
         return None if self.goes_wrong('reply_lost') else reply
 
     async def _deliver_late(self, rank: int, order: AnyOrder) -> None:
         await trio.sleep(self.random.uniform(0, _LATE_S))
-        await self.ranks[rank].take(order)
+        await self.ranks[rank].handle_order(order)
 
     def mixed_steps(self) -> list[int]:
         """Return the steps at which ranks used different maps."""
@@ -304,7 +309,7 @@
     async def send(rank: int, order: AnyOrder) -> AnyReply | None:
         if isinstance(order, Confirm) and rank != last:
             return None
-        return await world.ranks[rank].take(order)
+        return await world.ranks[rank].handle_order(order)
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(world.step_forever)
@@ -318,11 +323,11 @@
 
 
 async def _change_once(world: World, coordinator: Coordinator) -> None:
-    gathered = await coordinator.gather()
-    assert isinstance(gathered, Quorum)
+    gathered = await coordinator.collect_promises()
+    assert isinstance(gathered, GroupState)
     old = ExpertMap(gathered.ranks)
     new = ExpertMap(tuple(reversed(gathered.ranks)))
-    world.results.append(await coordinator.change(gathered, new, old))
+    world.results.append(await coordinator.change_map(gathered, new, old))
 
 
 async def _settle_for(
@@ -336,7 +341,7 @@
     coordinator = Coordinator(1, RANKS, send)
     with trio.move_on_after(seconds):
         while True:
-            gathered = await coordinator.gather()
+            gathered = await coordinator.collect_promises()
             if isinstance(gathered, ChangeResult):
                 world.results.append(gathered)
             await trio.sleep(0.1)
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -62,7 +62,7 @@
     (_inquired, Reason.VOIDED),
     (_new_manifest, Reason.STALE_MANIFEST),
     (_late, Reason.STALE_DISPATCH),
-    (lambda scene: scene.gate.leave(), Reason.DRAINING),
+    (lambda scene: scene.gate.start_shutdown(), Reason.DRAINING),
 ]
 
 
@@ -100,7 +100,7 @@
 def test_resumption_of_what_never_arrived_voids_it(after_ms: float) -> None:
     scene = Scene()
     sent = build.dispatch('r', 'i', clock=scene.now_ms)
-    assert scene.gate.find('r') is None
+    assert scene.gate.find_run('r') is None
     scene.gate.void('r')
     scene.now_ms += after_ms
     scene.gate.sweep()
@@ -131,6 +131,6 @@
     scene = Scene()
     sent = build.dispatch('r', 'i', clock=scene.now_ms)
     _enter(scene, sent).complete(scene.now_ms)
-    scene.gate.forget('r')
+    scene.gate.discard_run('r')
     scene.now_ms += MAX_DISPATCH_AGE_MS + 1
     assert isinstance(scene.gate.check_dispatch(sent), Refusal)
--- a/tests/test_worker.py
+++ b/tests/test_worker.py
@@ -9,7 +9,7 @@
 from amaranthrail.outcomes import Outcome, Reason
 from amaranthrail.runtime import Runtime
 from amaranthrail.sidecar.run import Run
-from amaranthrail.sidecar.slots import Slots
+from amaranthrail.sidecar.slots import SlotQueue
 from amaranthrail.sidecar.worker import Worker
 from amaranthrail.types import DomainName, ProcessName
 
@@ -29,7 +29,7 @@
     listeners = await trio.open_tcp_listeners(0, host='127.0.0.1')
     port = listeners[0].socket.getsockname()[1]
     upstream = HttpClient(Address('127.0.0.1', port))
-    worker = Worker(runtime, Slots(runtime.clock, 1), upstream)
+    worker = Worker(runtime, SlotQueue(runtime.clock, 1), upstream)
     runs = [
         Run(build.dispatch(name, 'i', **changes), runtime.clock.now())
         for name in ('first', 'second')
@@ -37,7 +37,7 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(trio.serve_listeners, _answer_once, listeners)
         for run in runs:
-            await worker.run(run)
+            await worker.execute(run)
             await trio.sleep(0.05)
         nursery.cancel_scope.cancel()
     return runs
