--- a/src/amaranthrail/sidecar/rank.py
+++ b/src/amaranthrail/sidecar/rank.py
@@ -74,7 +74,7 @@
     def can_lead(self) -> bool:
         """Tell whether no lower rank holds the leader lease.
 
-        A rank waits for the lease plus a share of it that grows with its number.
+        The lease is longer for a higher rank.
         """
         if self._last_leader is None:
             return (
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""Make every "not run" final: no copy of the dispatch runs later."""
+"""Check that after a "not run" refusal no duplicate dispatch runs."""
 
 from __future__ import annotations
 
@@ -17,13 +17,14 @@
 
 from . import build
 
-#: When copies of the refused dispatch come again, in milliseconds after it.
-COPIES_MS = (0, 1, 500, 2999, 3001, 11_999, 12_001, 60_000, 3_600_000)
+#: When a duplicate dispatch arrives, in milliseconds after the refused
+#: one: on both sides of the age limit (3000) and the void retention (12 000).
+DUPLICATE_AFTER_MS = (0, 1, 500, 2999, 3001, 11_999, 12_001, 60_000, 3_600_000)
 
 
 @dataclass
-class Scene:
-    """Hold a gate, its configuration and the time."""
+class GateFixture:
+    """Hold a gate with its configuration and an adjustable clock."""
 
     now_ms: float = 10_000.0
     configuration: Configuration = field(default_factory=Configuration)
@@ -41,96 +42,96 @@
         self.configuration.adopt(0, b'', (('u', offset, draining),))
 
 
-def _draining(scene: Scene) -> None:
-    scene.drain(1, draining=True)
+def _drain(fixture: GateFixture) -> None:
+    fixture.drain(1, draining=True)
 
 
-def _inquired(scene: Scene) -> None:
-    assert scene.gate.find_or_void('n') is None
+def _query_attempt(fixture: GateFixture) -> None:
+    assert fixture.gate.find_or_void('n') is None
 
 
-def _new_manifest(scene: Scene) -> None:
-    scene.configuration.adopt(7, build.manifest_text(), ())
+def _adopt_manifest(fixture: GateFixture) -> None:
+    fixture.configuration.adopt(7, build.manifest_text(), ())
 
 
-def _late(scene: Scene) -> None:
-    scene.now_ms += MAX_DISPATCH_AGE_MS + 1
+def _exceed_age(fixture: GateFixture) -> None:
+    fixture.now_ms += MAX_DISPATCH_AGE_MS + 1
 
 
 REFUSALS = [
-    (_draining, Reason.DRAINING),
-    (_inquired, Reason.VOIDED),
-    (_new_manifest, Reason.STALE_MANIFEST),
-    (_late, Reason.STALE_DISPATCH),
-    (lambda scene: scene.gate.start_shutdown(), Reason.DRAINING),
+    (_drain, Reason.DRAINING),
+    (_query_attempt, Reason.VOIDED),
+    (_adopt_manifest, Reason.STALE_MANIFEST),
+    (_exceed_age, Reason.STALE_DISPATCH),
+    (lambda fixture: fixture.gate.start_shutdown(), Reason.DRAINING),
 ]
 
 
 @pytest.mark.parametrize(('cause', 'reason'), REFUSALS)
-@pytest.mark.parametrize('after_ms', COPIES_MS)
+@pytest.mark.parametrize('after_ms', DUPLICATE_AFTER_MS)
 def test_refused_dispatch_never_runs(
-    cause: Callable[[Scene], None],
+    cause: Callable[[GateFixture], None],
     reason: Reason,
     after_ms: float,
 ) -> None:
-    scene = Scene()
-    sent = build.dispatch(
-        'r', 'i', clock=scene.now_ms, intent='n', manifest_version=3
+    fixture = GateFixture()
+    dispatch = build.dispatch(
+        'r', 'i', clock=fixture.now_ms, intent='n', manifest_version=3
     )
-    cause(scene)
-    refused = scene.gate.check_dispatch(sent)
-    assert isinstance(refused, Refusal)
-    assert (refused.outcome, refused.reason) == (Outcome.NOT_RUN, reason)
-    # The cause goes away; the refusal stays.
-    scene.drain(2, draining=False)
-    scene.now_ms += after_ms
-    scene.gate.sweep()
-    assert isinstance(scene.gate.check_dispatch(sent), Refusal)
-
-
-def test_another_incarnation_refuses() -> None:
-    found = Scene().gate.check_dispatch(
+    cause(fixture)
+    refusal = fixture.gate.check_dispatch(dispatch)
+    assert isinstance(refusal, Refusal)
+    assert (refusal.outcome, refusal.reason) == (Outcome.NOT_RUN, reason)
+    # The refusal remains after its cause has ended.
+    fixture.drain(2, draining=False)
+    fixture.now_ms += after_ms
+    fixture.gate.sweep()
+    assert isinstance(fixture.gate.check_dispatch(dispatch), Refusal)
+
+
+def test_dispatch_to_earlier_incarnation_is_refused() -> None:
+    refusal = GateFixture().gate.check_dispatch(
         build.dispatch('r', 'earlier', clock=10_000)
     )
-    assert isinstance(found, Refusal)
-    assert found.reason is Reason.WRONG_INCARNATION
+    assert isinstance(refusal, Refusal)
+    assert refusal.reason is Reason.WRONG_INCARNATION
 
 
-@pytest.mark.parametrize('after_ms', COPIES_MS)
-def test_resumption_of_what_never_arrived_voids_it(after_ms: float) -> None:
-    scene = Scene()
-    sent = build.dispatch('r', 'i', clock=scene.now_ms)
-    assert scene.gate.find_run('r') is None
-    scene.gate.void('r')
-    scene.now_ms += after_ms
-    scene.gate.sweep()
-    assert isinstance(scene.gate.check_dispatch(sent), Refusal)
+@pytest.mark.parametrize('after_ms', DUPLICATE_AFTER_MS)
+def test_resume_of_unknown_request_voids_it(after_ms: float) -> None:
+    fixture = GateFixture()
+    dispatch = build.dispatch('r', 'i', clock=fixture.now_ms)
+    assert fixture.gate.find_run('r') is None
+    fixture.gate.void('r')
+    fixture.now_ms += after_ms
+    fixture.gate.sweep()
+    assert isinstance(fixture.gate.check_dispatch(dispatch), Refusal)
 
 
-def _enter(scene: Scene, sent: Dispatch) -> Run:
-    assert scene.gate.check_dispatch(sent) is None
-    run = Run(sent, scene.now_ms)
-    scene.gate.add_run(run)
+def _admit(fixture: GateFixture, dispatch: Dispatch) -> Run:
+    assert fixture.gate.check_dispatch(dispatch) is None
+    run = Run(dispatch, fixture.now_ms)
+    fixture.gate.add_run(run)
     return run
 
 
 @pytest.mark.parametrize('after_ms', [0, 2999, 600_000])
-def test_keyed_copy_finds_the_run(after_ms: float) -> None:
-    scene = Scene()
-    sent = build.dispatch('r', 'i', clock=scene.now_ms, intent='n')
-    run = _enter(scene, sent)
-    run.complete(scene.now_ms)
-    scene.now_ms += after_ms
-    scene.gate.sweep()
-    again = build.dispatch('r2', 'i', clock=scene.now_ms, intent='n')
-    assert scene.gate.check_dispatch(again) is run
-    assert scene.gate.find_or_void('n') is run
-
-
-def test_forgotten_idempotent_run_does_not_run_from_a_stale_copy() -> None:
-    scene = Scene()
-    sent = build.dispatch('r', 'i', clock=scene.now_ms)
-    _enter(scene, sent).complete(scene.now_ms)
-    scene.gate.discard_run('r')
-    scene.now_ms += MAX_DISPATCH_AGE_MS + 1
-    assert isinstance(scene.gate.check_dispatch(sent), Refusal)
+def test_keyed_duplicate_finds_the_run(after_ms: float) -> None:
+    fixture = GateFixture()
+    dispatch = build.dispatch('r', 'i', clock=fixture.now_ms, intent='n')
+    run = _admit(fixture, dispatch)
+    run.complete(fixture.now_ms)
+    fixture.now_ms += after_ms
+    fixture.gate.sweep()
+    duplicate = build.dispatch('r2', 'i', clock=fixture.now_ms, intent='n')
+    assert fixture.gate.check_dispatch(duplicate) is run
+    assert fixture.gate.find_or_void('n') is run
+
+
+def test_stale_duplicate_of_discarded_run_is_refused() -> None:
+    fixture = GateFixture()
+    dispatch = build.dispatch('r', 'i', clock=fixture.now_ms)
+    _admit(fixture, dispatch).complete(fixture.now_ms)
+    fixture.gate.discard_run('r')
+    fixture.now_ms += MAX_DISPATCH_AGE_MS + 1
+    assert isinstance(fixture.gate.check_dispatch(dispatch), Refusal)
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -1,4 +1,4 @@
-"""Change a real group's expert map while its processes fail."""
+"""Change the expert map of a running group while its processes fail."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 @pytest.fixture(params=['fencing', 'no fencing'], scope='module')
-def grouped(request: pytest.FixtureRequest) -> Iterator[Fleet]:
+def group_fleet(request: pytest.FixtureRequest) -> Iterator[Fleet]:
     plan = FleetPlan(
         entries=1,
         replicas=0,
@@ -25,50 +25,50 @@
         ranks=RANKS,
         fencing=request.param == 'fencing',
     )
-    with running_fleet(plan) as running:
-        yield running
+    with running_fleet(plan) as fleet:
+        yield fleet
 
 
-def _steps(fleet: Fleet) -> Any:
+def _read_steps(fleet: Fleet) -> Any:
     return http_call(fleet.ranks[0].url, 'GET', '/control/steps').json()
 
 
-def _changes(fleet: Fleet) -> int:
-    return max(len(used) for used in _steps(fleet)['used'])
+def _count_changes(fleet: Fleet) -> int:
+    return max(len(used) for used in _read_steps(fleet)['used'])
 
 
-def _mixed(fleet: Fleet) -> list[int]:
-    return mixed_steps(_steps(fleet)['used'])
+def _mixed_steps(fleet: Fleet) -> list[int]:
+    return mixed_steps(_read_steps(fleet)['used'])
 
 
-def _wait_change(fleet: Fleet, slow: int) -> None:
-    """Slow down one rank and wait until the map has changed for it."""
-    target = _changes(fleet) + 1
-    for one in fleet.ranks:
-        one.set_faults(speed=0.4 if one.rank == slow else 1.0)
-    wait_until(lambda: _changes(fleet) >= target, 30)
+def _change_by_slow_rank(fleet: Fleet, slow_rank: int) -> None:
+    """Slow down one rank and wait for a change of the expert map."""
+    target = _count_changes(fleet) + 1
+    for rank in fleet.ranks:
+        rank.set_faults(speed=0.4 if rank.rank == slow_rank else 1.0)
+    wait_until(lambda: _count_changes(fleet) >= target, 30)
 
 
-def test_map_follows_the_load_through_failures(grouped: Fleet) -> None:
-    _wait_change(grouped, slow=1)
-    leader = grouped.ranks[0].sidecar
+def test_map_changes_with_load_despite_failures(group_fleet: Fleet) -> None:
+    _change_by_slow_rank(group_fleet, slow_rank=1)
+    leader = group_fleet.ranks[0].sidecar
     leader.kill()
     leader.restart()
-    _wait_change(grouped, slow=2)
+    _change_by_slow_rank(group_fleet, slow_rank=2)
     leader.pause()
-    wait_until(lambda: _step_passes(grouped))
+    wait_until(lambda: _steps_advance(group_fleet))
     leader.resume()
-    _wait_change(grouped, slow=3)
-    follower = grouped.ranks[2]
+    _change_by_slow_rank(group_fleet, slow_rank=3)
+    follower = group_fleet.ranks[2]
     follower.sidecar.kill()
     follower.sidecar.restart()
-    _wait_change(grouped, slow=1)
+    _change_by_slow_rank(group_fleet, slow_rank=1)
     follower.set_faults(restart=True)
-    _wait_change(grouped, slow=3)
-    assert not _mixed(grouped)
+    _change_by_slow_rank(group_fleet, slow_rank=3)
+    assert not _mixed_steps(group_fleet)
 
 
-def _step_passes(fleet: Fleet) -> bool:
-    before = _steps(fleet)['step']
-    after = _steps(fleet)['step']
+def _steps_advance(fleet: Fleet) -> bool:
+    before = _read_steps(fleet)['step']
+    after = _read_steps(fleet)['step']
     return bool(after > before)
--- a/tests/test_worker.py
+++ b/tests/test_worker.py
@@ -1,4 +1,4 @@
-"""Run requests against an upstream that closes idle connections."""
+"""Run requests against an upstream that closes each idle connection."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 from . import build
 
-ANSWER = b'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok'
+RESPONSE = b'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok'
 
 
-async def _answer_once(stream: trio.SocketStream) -> None:
+async def _respond_once(stream: trio.SocketStream) -> None:
     async with stream:
         await stream.receive_some(65_536)
-        await stream.send_all(ANSWER)
+        await stream.send_all(RESPONSE)
 
 
-async def _run_twice(**changes: object) -> list[Run]:
+async def _execute_two_runs(**changes: object) -> list[Run]:
     runtime = Runtime(ProcessName('p'), DomainName('d'))
     listeners = await trio.open_tcp_listeners(0, host='127.0.0.1')
     port = listeners[0].socket.getsockname()[1]
@@ -35,7 +35,7 @@
         for name in ('first', 'second')
     ]
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(trio.serve_listeners, _answer_once, listeners)
+        nursery.start_soon(trio.serve_listeners, _respond_once, listeners)
         for run in runs:
             await worker.execute(run)
             await trio.sleep(0.05)
@@ -44,20 +44,20 @@
 
 
 @pytest.mark.parametrize('intent', ['', 'n'])
-def test_closed_idle_connection_is_no_failure(intent: str) -> None:
-    async def go() -> list[Run]:
-        return await _run_twice(intent=intent)
+def test_closed_idle_connection_does_not_fail_run(intent: str) -> None:
+    async def execute() -> list[Run]:
+        return await _execute_two_runs(intent=intent)
 
-    for run in trio.run(go):
+    for run in trio.run(execute):
         assert run.failure is None
         assert (run.ended, run.length) == (True, 2)
 
 
-def test_work_without_time_left_does_not_start() -> None:
-    async def go() -> list[Run]:
-        return await _run_twice(left_ms=50.0, cost_ms=60.0)
+def test_run_with_less_time_than_cost_does_not_start() -> None:
+    async def execute() -> list[Run]:
+        return await _execute_two_runs(left_ms=50.0, cost_ms=60.0)
 
-    for run in trio.run(go):
+    for run in trio.run(execute):
         assert not run.started
         assert run.failure is not None
         assert run.failure.outcome is Outcome.NOT_RUN
