--- a/src/amaranthrail/entry/keyedrequests.py
+++ b/src/amaranthrail/entry/keyedrequests.py
@@ -32,8 +32,8 @@
 #: Time kept of a call's deadline to tell the caller that nothing was recorded.
 REFUSAL_RESERVE_MS = 100.0
 #: An intent claimed later than this after its creation is not dispatched. A
-#: sidecar remembers voided intents for longer (gate.VOID_KEPT_MS), so that none
-#: is dispatched after the sidecar has forgotten that it was voided.
+#: sidecar remembers voided intents for longer (gate.VOID_RETENTION_MS), so that
+#: none is dispatched after the sidecar has forgotten that it was voided.
 MAX_CLAIM_MS = 4500.0
 #: Attempts of one job, including the first; each has an intent of its own.
 MAX_ATTEMPTS = 3
--- a/tests/test_key_table.py
+++ b/tests/test_key_table.py
@@ -25,7 +25,11 @@
     FactBatch,
     encode_record,
 )
-from amaranthrail.sidecar.gate import STALE_AFTER_MS, VOID_KEPT_MS, Gate
+from amaranthrail.sidecar.gate import (
+    MAX_DISPATCH_AGE_MS,
+    VOID_RETENTION_MS,
+    DispatchGate,
+)
 from amaranthrail.sidecar.run import Run
 from amaranthrail.types import IdempotencyKey, Incarnation, Offset
 
@@ -145,9 +149,9 @@
     def now_s(self) -> float:
         return self.now_ms / 1000
 
-    def make_gate(self) -> Gate:
+    def make_gate(self) -> DispatchGate:
         incarnation = Incarnation(f's{self.restarts}')
-        return Gate('u', incarnation, self.clock, self.configuration)
+        return DispatchGate('u', incarnation, self.clock, self.configuration)
 
     def append(self, *facts: AnyFact) -> None:
         self.log.append(encode_record(FactBatch(id='x', facts=facts)))
@@ -210,10 +214,10 @@
     def deliver_dispatch(self, data: st.DataObject) -> None:
         # The dispatch stays in transit: a duplicate may arrive at any time.
         dispatch = data.draw(st.sampled_from(self.in_transit))
-        decision = self.gate.check(dispatch)
+        decision = self.gate.check_dispatch(dispatch)
         if decision is None:
             run = Run(dispatch, self.now_ms)
-            self.gate.enter(run)
+            self.gate.add_run(run)
             self.running[dispatch.intent] = run
             key = self.intents[dispatch.intent][2]
             self.ran[key] = self.ran.get(key, 0) + 1
@@ -231,7 +235,7 @@
             return
         state = LOST
         if record.intent.incarnation == current:
-            run = self.gate.inquire(record.intent.id)
+            run = self.gate.find_or_void(record.intent.id)
             state = VOID if run is None else RAN
         self.append(build.conclusion(key, record.intent.id, state))
 
@@ -275,4 +279,4 @@
 
 def test_void_is_kept_longer_than_a_dispatch_can_be_accepted() -> None:
 
-    assert VOID_KEPT_MS > MAX_CLAIM_MS + STALE_AFTER_MS
+    assert VOID_RETENTION_MS > MAX_CLAIM_MS + MAX_DISPATCH_AGE_MS
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""Send no new work to what is leaving, and cut off nothing in progress."""
+"""Drain or shut down processes: no new work, and no response is cut off."""
 
 from __future__ import annotations
 
@@ -15,118 +15,130 @@
 
 from .client import LAST_EVENT, request_completion
 
-#: The bound of the page: no new work this long after the word to leave.
-LEAVE_S = 2.0
+#: Documented bound, in seconds: no new work this long after a drain or shutdown
+#: has been ordered.
+NO_NEW_WORK_S = 2.0
 TOKENS = 200
 
 
 @pytest.fixture
-def small() -> Iterator[Fleet]:
+def small_fleet() -> Iterator[Fleet]:
     plan = FleetPlan(
         entries=2,
         replicas=2,
         services=1,
         engine_arguments=('--step-ms', '10'),
     )
-    with running_fleet(plan) as running:
-        yield running
+    with running_fleet(plan) as fleet:
+        yield fleet
 
 
-def _runs(one: UpstreamProcess) -> int:
-    return len(http_call(one.url, 'GET', '/control/runs').json())
+def _count_runs(upstream: UpstreamProcess) -> int:
+    return len(http_call(upstream.url, 'GET', '/control/runs').json())
 
 
-def _by_sidecar(_fleet: Fleet, victim: UpstreamProcess) -> None:
-    victim.sidecar.send(signal.SIGTERM)
+def _stop_sidecar(_fleet: Fleet, upstream: UpstreamProcess) -> None:
+    upstream.sidecar.send(signal.SIGTERM)
 
 
-def _by_operator(fleet: Fleet, victim: UpstreamProcess) -> None:
-    assert fleet.command('drain', victim.name).returncode == 0
+def _drain_by_operator(fleet: Fleet, upstream: UpstreamProcess) -> None:
+    assert fleet.command('drain', upstream.name).returncode == 0
 
 
-def _by_host_list(fleet: Fleet, victim: UpstreamProcess) -> None:
-    fleet.list_hosts(leaving=(victim.name,))
+def _mark_in_host_list(fleet: Fleet, upstream: UpstreamProcess) -> None:
+    fleet.list_hosts(leaving=(upstream.name,))
 
 
 LAG_MS = 10_000
-#: Whose word it is, and by how much the host list lags meanwhile; with more
-#: than the fleet's age the list is empty.
-WORDS = [
-    (_by_sidecar, 0),
-    (_by_operator, 0),
-    (_by_host_list, 0),
-    (_by_sidecar, LAG_MS),
-    (_by_operator, LAG_MS),
+#: How the drain is ordered, and by how many milliseconds the host list lags
+#: meanwhile; with a lag above the fleet's age the list is empty.
+DRAIN_ORDERS = [
+    (_stop_sidecar, 0),
+    (_drain_by_operator, 0),
+    (_mark_in_host_list, 0),
+    (_stop_sidecar, LAG_MS),
+    (_drain_by_operator, LAG_MS),
 ]
 
 
-@pytest.mark.parametrize(('word', 'lag_ms'), WORDS)
-def test_leaving_upstream_gets_no_new_work(
-    small: Fleet,
-    word: Callable[[Fleet, UpstreamProcess], None],
+@pytest.mark.parametrize(('order_drain', 'lag_ms'), DRAIN_ORDERS)
+def test_draining_upstream_gets_no_new_work(
+    small_fleet: Fleet,
+    order_drain: Callable[[Fleet, UpstreamProcess], None],
     lag_ms: int,
 ) -> None:
-    small.fault_platform(hosts_lag_ms=lag_ms)
-    victim = small.of_service('redattore')[0]
+    small_fleet.fault_platform(hosts_lag_ms=lag_ms)
+    upstream = small_fleet.of_service('redattore')[0]
     with ThreadPoolExecutor(8) as pool:
-        started = [pool.submit(_draft, small, number) for number in range(8)]
-        wait_until(lambda: _runs(victim))
-        word(small, victim)
-        time.sleep(LEAVE_S)
-        before = _runs(victim)
-        later = [pool.submit(_draft, small, number) for number in range(8)]
-        _assert_whole(started)
-        _assert_whole(later)
-    assert _runs(victim) == before
-
-
-def _draft(fleet: Fleet, number: int) -> Answer:
+        started = [
+            pool.submit(_request_draft, small_fleet, number)
+            for number in range(8)
+        ]
+        wait_until(lambda: _count_runs(upstream))
+        order_drain(small_fleet, upstream)
+        time.sleep(NO_NEW_WORK_S)
+        before = _count_runs(upstream)
+        later = [
+            pool.submit(_request_draft, small_fleet, number)
+            for number in range(8)
+        ]
+        _assert_complete(started)
+        _assert_complete(later)
+    assert _count_runs(upstream) == before
+
+
+def _request_draft(fleet: Fleet, number: int) -> Answer:
     entry = fleet.entries[number % 2]
     return request_completion(fleet, entry, f'prompt {number}', TOKENS)
 
 
-def _assert_whole(streams: list[Future[Answer]]) -> None:
+def _assert_complete(streams: list[Future[Answer]]) -> None:
     for stream in streams:
-        answer = stream.result()
-        assert answer.status == 200
-        assert answer.body.endswith(LAST_EVENT)
+        response = stream.result()
+        assert response.status == 200
+        assert response.body.endswith(LAST_EVENT)
 
 
 def _wait_not_ready(address: str) -> None:
-    wait_until(lambda: not answers(address, '/readyz'), LEAVE_S)
+    wait_until(lambda: not answers(address, '/readyz'), NO_NEW_WORK_S)
 
 
-def test_sidecar_ends_after_its_last_answer(small: Fleet) -> None:
-    victim = small.of_service('redattore')[0]
+def test_sidecar_ends_after_its_last_response(small_fleet: Fleet) -> None:
+    upstream = small_fleet.of_service('redattore')[0]
     with ThreadPoolExecutor(8) as pool:
-        started = [pool.submit(_draft, small, number) for number in range(8)]
-        wait_until(lambda: _runs(victim))
-        victim.sidecar.send(signal.SIGTERM)
-        _wait_not_ready(victim.sidecar_admin)
-        assert victim.sidecar.running
-        _assert_whole(started)
-    assert victim.sidecar.wait(10) == 0
-
-
-def test_entry_ends_after_its_last_answer(small: Fleet) -> None:
-    leaving = small.entries[0]
+        started = [
+            pool.submit(_request_draft, small_fleet, number)
+            for number in range(8)
+        ]
+        wait_until(lambda: _count_runs(upstream))
+        upstream.sidecar.send(signal.SIGTERM)
+        _wait_not_ready(upstream.sidecar_admin)
+        assert upstream.sidecar.running
+        _assert_complete(started)
+    assert upstream.sidecar.wait(10) == 0
+
+
+def test_entry_ends_after_its_last_response(small_fleet: Fleet) -> None:
+    entry = small_fleet.entries[0]
     with ThreadPoolExecutor(4) as pool:
         evens = range(0, 8, 2)
-        started = [pool.submit(_draft, small, even) for even in evens]
-        models = small.of_service('redattore')
-        wait_until(lambda: sum(map(_runs, models)) >= len(evens))
-        leaving.child.send(signal.SIGTERM)
-        _wait_not_ready(leaving.admin)
-        # Refused, or reset where it came in the moment of closing.
+        started = [
+            pool.submit(_request_draft, small_fleet, even) for even in evens
+        ]
+        models = small_fleet.of_service('redattore')
+        wait_until(lambda: sum(map(_count_runs, models)) >= len(evens))
+        entry.child.send(signal.SIGTERM)
+        _wait_not_ready(entry.admin)
+        # Refused, or reset if it arrives while the listener closes.
         with pytest.raises(ConnectionError):
-            http_call(leaving.url, 'GET', '/healthz')
-        _assert_whole(started)
-    assert leaving.child.wait(10) == 0
+            http_call(entry.url, 'GET', '/healthz')
+        _assert_complete(started)
+    assert entry.child.wait(10) == 0
 
 
-def test_dead_sidecar_gets_nothing_once_the_list_says_so(small: Fleet) -> None:
-    victim = small.of_service('redattore')[0]
-    victim.sidecar.kill()
-    later = [_draft(small, number) for number in range(6)]
-    assert [one.status for one in later] == [200 for _ in later]
-    assert _runs(victim) == 0
+def test_killed_sidecar_gets_no_work(small_fleet: Fleet) -> None:
+    upstream = small_fleet.of_service('redattore')[0]
+    upstream.sidecar.kill()
+    later = [_request_draft(small_fleet, number) for number in range(6)]
+    assert [response.status for response in later] == [200 for _ in later]
+    assert _count_runs(upstream) == 0
