--- a/tests/test_key_table.py
+++ b/tests/test_key_table.py
@@ -167,7 +167,7 @@
 
     @precondition(lambda self: self.log)
     @rule(data=st.data())
-    def append_duplicate(self, data: st.DataObject) -> None:
+    def repeat_append(self, data: st.DataObject) -> None:
         self.log.append(data.draw(st.sampled_from(self.log)))
 
     @rule(entry=st.integers(0, ENTRIES - 1), count=st.integers(1, 4))
@@ -179,11 +179,11 @@
             self.tables[entry].apply(0, record)
 
     @rule(entry=st.integers(0, ENTRIES - 1))
-    def receive_heartbeat(self, entry: int) -> None:
+    def handle_heartbeat(self, entry: int) -> None:
         self.heartbeats[entry] = (Incarnation(f's{self.restarts}'), self.now_ms)
 
     @rule(elapsed_ms=st.sampled_from([100.0, 1000.0, 4000.0, 15_000.0]))
-    def advance_clock(self, elapsed_ms: float) -> None:
+    def pass_time(self, elapsed_ms: float) -> None:
         self.now_ms += elapsed_ms
         self.gate.sweep()
 
@@ -264,6 +264,8 @@
                 assert record == self.tables[1].find(FilingKey(key))
 
 
+# Hypothesis derives the examples from the source of the class and the sorted
+# names of its rules, so a rename changes which faults the examples can find.
 AtMostOnce.TestCase.settings = settings(
     derandomize=True,
     max_examples=400,
