--- a/src/amaranthrail/direct/attempt.py
+++ b/src/amaranthrail/direct/attempt.py
@@ -139,19 +139,19 @@
         )
     if metadata.attempt_id != call.metadata.attempt_id:
         return Failure(
-            'response belongs to another request',
+            'answer to another request',
             may_have_run=True,
             delivered=True,
         )
     if metadata.encoded:
         return Failure(
-            'response body is encoded',
+            'body is encoded',
             may_have_run=True,
             delivered=True,
         )
     if status < _FIRST_NON_SUCCESS and not metadata.signed:
         return Failure(
-            'successful response is not signed',
+            'success is not signed',
             may_have_run=True,
             delivered=True,
         )
--- a/src/amaranthrail/direct/callers.py
+++ b/src/amaranthrail/direct/callers.py
@@ -84,7 +84,7 @@
         )
         if not self._shutdown.accepts(call):
             # Other entries accept the call without delay.
-            return not_run(Reason.DRAINING, 'this entry is shutting down', 0)
+            return not_run(Reason.DRAINING, 'this entry leaves', 0)
         return call
 
     def _make_call(
--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -268,7 +268,7 @@
 
 
 def _refuse_expired(call: Call) -> Refusal:
-    detail = 'no response before the deadline'
+    detail = 'no answer before the deadline'
     if call.may_have_run:
         return unknown_outcome(Reason.EXPIRED, detail)
     return not_run(Reason.EXPIRED, detail)
--- a/src/amaranthrail/direct/relay.py
+++ b/src/amaranthrail/direct/relay.py
@@ -92,7 +92,7 @@
         if self._splitter.has_partial:
             self._splitter.discard_partial()
             return Failure(
-                'stream ended within an event',
+                'stream ended in an event',
                 may_have_run=True,
                 delivered=True,
             )
@@ -109,7 +109,7 @@
         # The guard covers only the wait for the upstream, never a write.
         with self.make_stall_guard():
             return await anext(parts, None)
-        raise HttpError('upstream sent no event in time', sent=True)
+        raise HttpError('no event has come', sent=True)
 
     async def _relay_part(
         self,
