--- a/src/amaranthrail/direct/attempt.py
+++ b/src/amaranthrail/direct/attempt.py
@@ -26,7 +26,7 @@
         wire_format: WireFormat,
         directory: Directory,
     ) -> None:
-        """Use a directory from which replaced upstreams are removed."""
+        """Remove an upstream from ``directory`` if it has been replaced."""
         self._clock = clock
         self._wire_format = wire_format
         self._directory = directory
@@ -59,7 +59,8 @@
                 headers,
                 call.request.body,
                 # The upstream may already have closed a pooled connection; it
-                # is then unknown whether it read the request.
+                # is then unknown whether it read the request, and a call that
+                # must not run twice cannot be retried.
                 fresh=not call.route.retryable,
                 patience=relay.make_stall_guard(),
             ) as exchange:
--- a/src/amaranthrail/direct/callers.py
+++ b/src/amaranthrail/direct/callers.py
@@ -43,7 +43,7 @@
         self._random = random.Random()
 
     async def handle(self, request: HttpRequest, reply: Reply) -> None:
-        """Forward a request, or refuse one that cannot be routed."""
+        """Forward a request, or send a refusal if it is not accepted."""
         metadata = self._wire_format.read_request(request)
         call = self._accept(request, metadata)
         if isinstance(call, Refusal):
--- a/src/amaranthrail/direct/clusterstate.py
+++ b/src/amaranthrail/direct/clusterstate.py
@@ -74,7 +74,10 @@
         return self._deployment is not None and len(self._directory) > 0
 
     def record_peer_version(self, version: int, host: str) -> None:
-        """Record the configuration version that another entry reported."""
+        """Record another entry's configuration version if it is later.
+
+        The first report is kept until its version is in force or it is cleared.
+        """
         if version > self.version and self.newer_version is None:
             self._newer_version = NewerVersion(version, host, self._clock.now())
 
--- a/src/amaranthrail/direct/deployment.py
+++ b/src/amaranthrail/direct/deployment.py
@@ -10,9 +10,10 @@
 
 from ..types import DomainName, Millis, OrganisationName, ServiceName
 
+#: Priority of a route whose configuration states none.
 DEFAULT_PRIORITY = 5
 #: Time limits where a configuration states none, in ms: those of the users'
-#: sheets.
+#: data sheets.
 DEFAULT_HEADER_TIMEOUT_MS = 3000
 DEFAULT_IDLE_TIMEOUT_MS = 15_000
 
@@ -97,7 +98,7 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """Describe the replicas of one service; plain ones have no engine."""
+    """Describe one service; plain services have no engine and no layout."""
 
     name: ServiceName
     layout: ExpertLayout | None = None
--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -35,11 +35,11 @@
 from .upstreams import Upstream
 
 _FIRST_SERVER_ERROR = 500
-#: Time after a call's deadline at which the entry gives it up, in ms: an
-#: upstream that responds at the deadline is passed on instead.
+#: Time after a call's deadline at which the entry refuses it, in ms, so that a
+#: response that the upstream sends at the deadline is still passed on.
 DEADLINE_SLACK_MS = 60.0
-#: Least time left for which another attempt is made, in ms: a plain call takes
-#: 23 ms.
+#: Least time to the deadline with which a call is retried, in ms: a plain call
+#: takes 23 ms.
 MIN_ATTEMPT_MS = 30.0
 #: Upstreams that a call may fail to reach before it is refused.
 MAX_UNDELIVERED = 4
@@ -70,7 +70,7 @@
         call_log: CallLog,
         settings: ForwarderSettings,
     ) -> None:
-        """Use one random source to break ties and spread callers' retries."""
+        """Use one random source to break ties and distribute retry-after."""
         self._cluster = cluster
         self._attempts = attempts
         self._retry_budgets = retry_budgets
@@ -127,6 +127,7 @@
             if upstream is None:
                 return self._final_result(call, failed)
             ran_before = call.may_have_run
+            # The deadline may end the attempt before its result is known.
             call.may_have_run = True
             attempt = await self._attempts.send(call, upstream, relay)
             if attempt is None:
@@ -239,14 +240,14 @@
     def _final_result(
         self,
         call: Call,
-        failed: BufferedResponse | Failure | None,
+        last_attempt: BufferedResponse | Failure | None,
     ) -> BufferedResponse | Refusal:
-        """Return the upstream's error response or a refusal."""
-        if isinstance(failed, BufferedResponse):
-            return failed
+        """Return the last attempt's response, or a refusal if it has none."""
+        if isinstance(last_attempt, BufferedResponse):
+            return last_attempt
         cause = f'no upstream of {call.service} takes work'
-        if failed is not None:
-            cause = failed.cause
+        if last_attempt is not None:
+            cause = last_attempt.cause
         if call.may_have_run:
             return unknown_outcome(Reason.UPSTREAM_BROKEN, cause)
         if call.engine_load is not None and not call.choices:
@@ -257,7 +258,7 @@
                 choose_peak_retry_after_ms(remaining_ms, self._random),
             )
         return not_run(
-            Reason.NO_REPLICA if failed is None else Reason.NO_CAPACITY,
+            Reason.NO_REPLICA if last_attempt is None else Reason.NO_CAPACITY,
             cause,
             choose_retry_after_ms(self._random),
         )
--- a/src/amaranthrail/direct/members.py
+++ b/src/amaranthrail/direct/members.py
@@ -18,10 +18,10 @@
 
 #: Time for which a host without reports still counts as one that may run an
 #: entry, in ms: regions lose contact with each other for an hour at times, and
-#: one bound holds for the retries of all entries together.
+#: the entries of all regions share one bound on retries.
 HOST_RETENTION_MS = 7_200_000.0
-#: Hosts that one report is sent to, and that it names at most; where there are
-#: more, each report goes to a random sample.
+#: Most hosts that one report is sent to, and most that it names; where there
+#: are more, each report uses a random sample.
 MAX_REPORT_PEERS = 24
 _log = part_logger('members')
 
@@ -34,9 +34,9 @@
         self._clock = clock
         self._own = Member(host, clock.wall(), clock.now())
         self._reports: dict[str, Member] = {}
-        self._listed: frozenset[str] = frozenset()
-        self._reported: frozenset[str] = frozenset()
-        self._seeds: frozenset[str] = frozenset()
+        self._listed_hosts: frozenset[str] = frozenset()
+        self._reported_hosts: frozenset[str] = frozenset()
+        self._seed_hosts: frozenset[str] = frozenset()
         self._was_leader = False
 
     @property
@@ -48,17 +48,17 @@
     def hosts(self) -> frozenset[str]:
         """Return the other hosts that may run an entry, live or not."""
         self._drop_old_reports()
-        known = self._seeds | self._listed | self._reported
+        known = self._seed_hosts | self._listed_hosts | self._reported_hosts
         return (known | frozenset(self._reports)) - {self._own.host}
 
     @property
     def live_hosts(self) -> list[str]:
-        """Return the hosts of the other entries within liveness timeout."""
+        """Return the hosts with a report within the liveness timeout."""
         return [member.host for member in self._live_members()]
 
     @property
     def successor_count(self) -> int:
-        """Count the entries that can serve sync requests after this one."""
+        """Count the entries that serve sync requests after this one exits."""
         return sum(
             runs_longer_than(member, self._own)
             for member in self._live_members()
@@ -78,8 +78,8 @@
         if self._clock.now() - self._own.last_seen_at < HOST_RETENTION_MS:
             return frozenset()
         self._drop_old_reports()
-        reached = frozenset(self._reports) | self._reported
-        return self._listed - reached - {self._own.host}
+        reached = frozenset(self._reports) | self._reported_hosts
+        return self._listed_hosts - reached - {self._own.host}
 
     def check_leadership(self) -> bool:
         """Tell whether this entry is leader of the expert maps; log changes."""
@@ -100,19 +100,19 @@
 
     def replace_seeds(self, hosts: Iterable[str]) -> None:
         """Replace the hosts that come from the settings."""
-        self._seeds = frozenset(hosts)
+        self._seed_hosts = frozenset(hosts)
 
     def replace_listed(self, hosts: Iterable[str]) -> None:
         """Replace the hosts that come from the store's list of entries.
 
         Hosts that were only named in other entries' reports are dropped.
         """
-        self._listed = frozenset(hosts)
-        self._reported = frozenset()
+        self._listed_hosts = frozenset(hosts)
+        self._reported_hosts = frozenset()
 
     def add_reported(self, hosts: Collection[str]) -> None:
         """Add hosts that another entry reported as live."""
-        self._reported |= frozenset(hosts)
+        self._reported_hosts |= frozenset(hosts)
 
     def record_report(self, member: Member) -> None:
         """Replace what an entry last reported of itself."""
--- a/src/amaranthrail/direct/peermessages.py
+++ b/src/amaranthrail/direct/peermessages.py
@@ -28,7 +28,10 @@
 
 
 class RemovedUpstream(msgspec.Struct, array_like=True, frozen=True):
-    """Name an upstream that was removed, with the order of its last record."""
+    """Name an upstream that was removed.
+
+    ``started_at`` and ``sequence`` are those of its last record.
+    """
 
     name: str
     started_at: int
--- a/src/amaranthrail/direct/peers.py
+++ b/src/amaranthrail/direct/peers.py
@@ -216,14 +216,16 @@
             self._cluster.directory.remove_until(removed.name, order_key, host)
 
 
-def _is_update(record: UpstreamRecord, known: RecordVersion | None) -> bool:
+def _is_update(
+    record: UpstreamRecord, peer_version: RecordVersion | None
+) -> bool:
     """Tell whether a record matters to an entry that has another or none.
 
     A later record with the same start and state is left out.
     """
-    if known is None:
+    if peer_version is None:
         return True
-    if record.order_key <= (known.started_at, known.sequence):
+    if record.order_key <= (peer_version.started_at, peer_version.sequence):
         return False
-    restarted = record.started_at != known.started_at
-    return restarted or record.state.value != known.state
+    restarted = record.started_at != peer_version.started_at
+    return restarted or record.state.value != peer_version.state
--- a/src/amaranthrail/direct/ports.py
+++ b/src/amaranthrail/direct/ports.py
@@ -84,9 +84,10 @@
 class RequestMetadata(msgspec.Struct, frozen=True):
     """Hold what an entry reads from the headers of a caller's request.
 
-    ``timeout_ms`` is the time left until the caller's deadline.
-    ``expected_tokens`` is its estimate of the response's length, often far off,
-    and 0 where there is none.
+    ``attempt_id`` identifies the call: it is the same for each upstream tried,
+    and a response must state it. ``timeout_ms`` is the time left until the
+    caller's deadline, ``expected_tokens`` the caller's estimate of the
+    response's length, often far off, and 0 where there is none.
     """
 
     attempt_id: str
@@ -107,6 +108,7 @@
 class ResponseMetadata(msgspec.Struct, frozen=True):
     """Hold what an entry reads from the headers of a response.
 
+    ``signed`` says that it carries a signature of the upstream.
     ``not_executed`` is proof that the call has not run, ``replaced`` says that
     the address now belongs to another upstream, and ``encoded`` that the body
     has a content encoding.
--- a/src/amaranthrail/direct/retrybudgets.py
+++ b/src/amaranthrail/direct/retrybudgets.py
@@ -19,7 +19,11 @@
         clock: Clock,
         entry_count: Callable[[], int],
     ) -> None:
-        """Share ``limits`` evenly among as many entries as may be running."""
+        """Bound each service by ``limits``, which are for all entries.
+
+        ``entry_count`` returns how many entries may be running; the slack is
+        divided evenly among them.
+        """
         self._limits = limits
         self._clock = clock
         self._entry_count = entry_count
--- a/src/amaranthrail/direct/stalls.py
+++ b/src/amaranthrail/direct/stalls.py
@@ -12,8 +12,8 @@
 from ..policy.stalls import is_stream_stalled
 from .steptimes import StepTimes
 
-#: Interval between checks of all waiting streams, in ms: a fifth of the silence
-#: that is tolerated.
+#: Interval between checks of all waiting streams, in ms: a fifth of the time
+#: without an event after which a stream is stalled.
 CHECK_INTERVAL_MS = 200.0
 
 
--- a/src/amaranthrail/direct/sync.py
+++ b/src/amaranthrail/direct/sync.py
@@ -14,10 +14,10 @@
     Topic,
 )
 
-#: Time for which the store is asked to hold a read, in ms. A connection that
-#: went silent is detected after this time and a call's timeout, and updates
-#: must be in force 5 s after that: 3 s until hosts count as in contact, and 2 s
-#: more.
+#: Time for which the store is asked to hold a read, in ms. A connection that a
+#: partition has made silent is detected after this time and a call's timeout.
+#: Updates must be in force 5 s after the partition ends: 3 s until hosts count
+#: as in contact, and 2 s more.
 READ_WAIT_MS = 3000
 #: Least interval between reads of a topic, in ms: calls are billed, and a
 #: change must be in force within two seconds.
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -15,6 +15,7 @@
     runs_longer_than,
 )
 
+#: A time in ms at which entries whose reports began at 0 may become leader.
 SETTLED = 10_000.0
 
 
@@ -59,13 +60,13 @@
     assert not is_leader(second, [reports[0]], now)
 
 
-@pytest.mark.parametrize('leaving', [True, False])
+@pytest.mark.parametrize('shutting_down', [True, False])
 def test_leadership_moves_when_the_leader_shuts_down_or_expires(
-    *, leaving: bool
+    *, shutting_down: bool
 ) -> None:
     own = Member('b', 5000, 0)
-    silent_ms = 0 if leaving else LIVENESS_TIMEOUT_MS
-    leader = Member('a', 4000, SETTLED - silent_ms, int(leaving))
+    silent_ms = 0 if shutting_down else LIVENESS_TIMEOUT_MS
+    leader = Member('a', 4000, SETTLED - silent_ms, int(shutting_down))
     assert is_leader(own, [leader], SETTLED)
 
 
@@ -106,7 +107,7 @@
 
 
 def test_replaced_hosts_expire() -> None:
-    """Guards against counting each host forever on days with 110 replaced."""
+    """Guards against replaced hosts that count forever: some days have 110."""
     time = FakeTime()
     members = new_members(time)
     for host in range(1000):
--- a/tests/test_shared_loads.py
+++ b/tests/test_shared_loads.py
@@ -63,16 +63,19 @@
 def test_a_load_peak_at_twelve_entries_overloads_no_upstream() -> None:
     """Guards against overload: 300 streams on 360 slots, as on large sites."""
     random_source = random.Random(1)
-    own = [dict.fromkeys(range(UPSTREAMS), 0) for _ in range(ENTRIES)]
+    calls_by_entry = [
+        dict.fromkeys(range(UPSTREAMS), 0) for _ in range(ENTRIES)
+    ]
     for stream in range(300):
-        calls = own[stream % ENTRIES]
+        calls = calls_by_entry[stream % ENTRIES]
         views = [
             UpstreamView(str(index), SLOTS, calls[index]) for index in calls
         ]
         views_with_reports = [
             replace(
                 view,
-                other_calls=sum(counts[index] for counts in own) - calls[index],
+                other_calls=sum(counts[index] for counts in calls_by_entry)
+                - calls[index],
             )
             for index, view in enumerate(views)
         ]
@@ -80,13 +83,17 @@
         assert chosen is not None
         calls[int(chosen.name)] += 1
     totals = [
-        sum(counts[index] for counts in own) for index in range(UPSTREAMS)
+        sum(counts[index] for counts in calls_by_entry)
+        for index in range(UPSTREAMS)
     ]
     assert max(totals) <= SLOTS
 
 
 def test_calls_of_an_entry_that_lost_power_are_still_counted() -> None:
-    """Guards against a loss of all entries while engines run their streams."""
+    """Guards against overloaded engines after a loss of all entries.
+
+    The engines still run the streams that those entries had sent.
+    """
     time = FakeTime()
     record = UpstreamRecord(
         'e1',
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -178,7 +178,7 @@
     follow([Snapshot(BOTH_RECORDS, 2), later, earlier], scenario)
 
 
-def test_a_name_that_has_gone_comes_back_only_later() -> None:
+def test_an_outdated_record_does_not_restore_a_removed_upstream() -> None:
     async def scenario(cluster: ClusterState, _store: ScriptedStore) -> None:
         await trio.sleep(0.5)
         assert cluster.directory.names() == {'i-2'}
