--- a/src/amaranthrail/direct/loads.py
+++ b/src/amaranthrail/direct/loads.py
@@ -141,7 +141,7 @@
                     report.started_at,
                     self._clock.now(),
                     report.shutdown_at,
-                    report.complete,
+                    report.has_cluster_state,
                 ),
             )
             self._members.add_reported(report.live_hosts)
