--- a/src/amaranthrail/direct/forward.py
+++ b/src/amaranthrail/direct/forward.py
@@ -196,7 +196,7 @@
         is_last = call.delivered_attempts + 1 >= call.route.max_attempts
         if is_last or not others or not call.route.retryable:
             return False
-        call.retry_reserved = self._retry_budgets.spend(call.service)
+        call.retry_reserved = self._retry_budgets.try_withdraw(call.service)
         return call.retry_reserved
 
     def _should_retry(
@@ -220,7 +220,7 @@
             return False
         reserved = call.retry_reserved
         call.retry_reserved = False
-        return reserved or self._retry_budgets.spend(call.service)
+        return reserved or self._retry_budgets.try_withdraw(call.service)
 
     def _should_redirect(self, call: Call, attempt: Failure) -> bool:
         """Tell whether a call not delivered as addressed is sent elsewhere.
@@ -232,7 +232,9 @@
             call
         ):
             return False
-        return not attempt.delivered or self._retry_budgets.spend(call.service)
+        return not attempt.delivered or self._retry_budgets.try_withdraw(
+            call.service
+        )
 
     def _has_time(self, call: Call) -> bool:
         return call.deadline - self._clock.now() > MIN_ATTEMPT_MS
--- a/src/amaranthrail/direct/retrybudgets.py
+++ b/src/amaranthrail/direct/retrybudgets.py
@@ -39,7 +39,7 @@
         """Count a caller's request, from which the budget grows."""
         self._budget(service).record_call(self._clock.now())
 
-    def spend(self, service: ServiceName) -> bool:
+    def try_withdraw(self, service: ServiceName) -> bool:
         """Take a retry from a service's budget; return whether one was left."""
         return self._budget(service).try_withdraw(
             self._clock.now(), self._entry_count()
