--- a/src/amaranthrail/direct/calllog.py
+++ b/src/amaranthrail/direct/calllog.py
@@ -109,7 +109,7 @@
 
     def record_rejection(
         self,
-        request: str,
+        attempt_id: str,
         reason: str,
         version: int,
     ) -> None:
@@ -118,7 +118,7 @@
         if self._may_log_problem():
             _log.warning(
                 'rejected',
-                request=request,
+                request=attempt_id,
                 reason=reason,
                 version=version,
             )
@@ -146,10 +146,10 @@
             took_ms=int(self._clock.now() - call.arrived_at),
         )
 
-    def _is_sampled(self, request: str) -> bool:
+    def _is_sampled(self, attempt_id: str) -> bool:
         if self._answered.increment() <= FULL_LOG_PER_SECOND:
             return True
-        return xxhash.xxh32_intdigest(request.encode()) % SAMPLED_ONE_IN == 0
+        return xxhash.xxh32_intdigest(attempt_id.encode()) % SAMPLED_ONE_IN == 0
 
     def _may_log_problem(self) -> bool:
         if self._problems.increment() <= MAX_PROBLEMS_PER_SECOND:
--- a/src/amaranthrail/direct/peermessages.py
+++ b/src/amaranthrail/direct/peermessages.py
@@ -55,7 +55,7 @@
 
     ``live_hosts`` are some of the entries that it received reports from lately.
     ``started_at`` is the wall time of its start in ms, ``shutdown_at`` that of
-    its signal to stop (0 before). ``has_cluster_state`` says that it knows a
+    its stop signal (0 before). ``has_cluster_state`` says that it knows a
     configuration and upstreams, ``version`` is that of its configuration.
     """
 
--- a/src/amaranthrail/direct/service.py
+++ b/src/amaranthrail/direct/service.py
@@ -42,7 +42,7 @@
     follow_configuration,
 )
 
-#: Time from the signal to stop until idle connections are closed, in ms: the
+#: Time from the stop signal until idle connections are closed, in ms: the
 #: balancer opens new ones until two probes, a second apart, have failed.
 IDLE_CLOSE_DELAY_MS = 2500.0
 _EXIT_CHECK_INTERVAL_MS = 20.0
--- a/src/amaranthrail/direct/settings.py
+++ b/src/amaranthrail/direct/settings.py
@@ -25,7 +25,7 @@
 
     ``peer_port`` is the port for messages between entries, the same on every
     host; ``metrics_port`` is the one that serves metrics. ``seeds`` are hosts
-    that may run an entry. ``shutdown_ms`` is the time from the signal to stop
+    that may run an entry. ``shutdown_ms`` is the time from the stop signal
     until the process is killed.
     """
 
