--- a/src/amaranthrail/direct/attempt.py
+++ b/src/amaranthrail/direct/attempt.py
@@ -26,7 +26,7 @@
         wire_format: WireFormat,
         directory: Directory,
     ) -> None:
-        """Use a directory from which replaced upstreams are removed."""
+        """Remove an upstream from ``directory`` if it has been replaced."""
         self._clock = clock
         self._wire_format = wire_format
         self._directory = directory
@@ -59,7 +59,8 @@
                 headers,
                 call.request.body,
                 # The upstream may already have closed a pooled connection; it
-                # is then unknown whether it read the request.
+                # is then unknown whether it read the request, and a call that
+                # must not run twice cannot be retried.
                 new_connection=not call.route.retryable,
                 head_guard=relay.make_stall_guard(),
             ) as exchange:
@@ -139,19 +140,19 @@
         )
     if metadata.attempt_id != call.metadata.attempt_id:
         return Failure(
-            'response belongs to another request',
+            'answer to another request',
             may_have_run=True,
             delivered=True,
         )
     if metadata.encoded:
         return Failure(
-            'response body is encoded',
+            'body is encoded',
             may_have_run=True,
             delivered=True,
         )
     if status < _FIRST_NON_SUCCESS and not metadata.signed:
         return Failure(
-            'successful response is not signed',
+            'success is not signed',
             may_have_run=True,
             delivered=True,
         )
--- a/src/amaranthrail/direct/callers.py
+++ b/src/amaranthrail/direct/callers.py
@@ -43,7 +43,7 @@
         self._random = random.Random()
 
     async def handle(self, request: HttpRequest, reply: ResponseWriter) -> None:
-        """Forward a request, or refuse one that cannot be routed."""
+        """Forward a request, or send a refusal if it is not accepted."""
         metadata = self._wire_format.read_request(request)
         call = self._accept(request, metadata)
         if isinstance(call, Refusal):
@@ -84,7 +84,7 @@
         )
         if not self._shutdown.accepts(call):
             # Other entries accept the call without delay.
-            return not_run(Reason.DRAINING, 'this entry is shutting down', 0)
+            return not_run(Reason.DRAINING, 'this entry leaves', 0)
         return call
 
     def _make_call(
--- a/src/amaranthrail/direct/retrybudgets.py
+++ b/src/amaranthrail/direct/retrybudgets.py
@@ -19,7 +19,11 @@
         clock: Clock,
         entry_count: Callable[[], int],
     ) -> None:
-        """Share ``limits`` evenly among as many entries as may be running."""
+        """Bound each service by ``limits``, which are for all entries.
+
+        ``entry_count`` returns how many entries may be running; the slack is
+        divided evenly among them.
+        """
         self._limits = limits
         self._clock = clock
         self._entry_count = entry_count
@@ -35,7 +39,7 @@
         """Count a caller's request, from which the budget grows."""
         self._budget(service).record_call(self._clock.now())
 
-    def spend(self, service: ServiceName) -> bool:
+    def try_withdraw(self, service: ServiceName) -> bool:
         """Take a retry from a service's budget; return whether one was left."""
         return self._budget(service).try_withdraw(
             self._clock.now(), self._entry_count()
