--- a/src/amaranthrail/platform/headers.py
+++ b/src/amaranthrail/platform/headers.py
@@ -1,4 +1,4 @@
-"""Translate the platform's HTTP header fields from and to own types."""
+"""Translate the platform's HTTP header fields to and from own types."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
         'content-length',
     ),
 )
-#: Request fields that only the entry may set; the caller's are dropped.
+#: Request fields that the entry checks or sets; the caller's are dropped.
 _SET_BY_ENTRY = frozenset(
     (
         'authorization',
--- a/src/amaranthrail/platform/records.py
+++ b/src/amaranthrail/platform/records.py
@@ -22,7 +22,7 @@
 from ..types import DomainName, Millis, OrganisationName, ServiceName
 
 _BITS = 8
-#: Speed of a link that states none or less, in megabits per second.
+#: Lowest link speed that is used, in megabits per second; a record may state 0.
 _MIN_LINK_MBPS = 1.0
 
 
--- a/src/amaranthrail/ranks/change.py
+++ b/src/amaranthrail/ranks/change.py
@@ -49,8 +49,8 @@
 #: Time before an unanswered order is retried, in ms; a rank that cannot be
 #: reached refuses connections at once.
 UNANSWERED_RETRY_MS = 80.0
-#: Time limit of one attempt to roll a change back, in ms; another attempt
-#: follows.
+#: Time limit of one attempt to roll a change back, and of one to release its
+#: step, in ms; another attempt follows.
 ROLLBACK_MS = 6000.0
 _log = part_logger('change')
 
@@ -211,7 +211,7 @@
         return True
 
     async def _hold_step(self, request: ChangeRequest) -> int | None:
-        """Hold a step that begins soon; return its number, None if refused."""
+        """Hold a step that begins soon; return its number, None on failure."""
         for ahead_ms in HOLD_AHEAD_MS:
             report = await self._fetch_report(self._holder)
             if report is None or report.epoch != request.epoch:
--- a/src/amaranthrail/ranks/controller.py
+++ b/src/amaranthrail/ranks/controller.py
@@ -40,13 +40,13 @@
 
     def __init__(
         self,
-        world: ClusterState,
+        cluster: ClusterState,
         is_leader: Callable[[], bool],
         make_rank: MakeRank,
         clock: Clock,
     ) -> None:
         """Set the cluster state, the leadership test and the rank factory."""
-        self._world = world
+        self._cluster = cluster
         self._is_leader = is_leader
         self._make_rank = make_rank
         self._clock = clock
@@ -60,7 +60,7 @@
         """Update all groups every CYCLE_MS until cancelled."""
         while True:
             await sleep(CYCLE_MS)
-            deployment = self._world.deployment
+            deployment = self._cluster.deployment
             if deployment is not None:
                 async with self._cycle_lock:
                     await self._update_groups(deployment)
@@ -97,7 +97,9 @@
         service: ServiceName,
         leader: Leader,
     ) -> None:
-        upstreams = self._world.directory.ready_upstreams(service, frozenset())
+        upstreams = self._cluster.directory.ready_upstreams(
+            service, frozenset()
+        )
         if not self._is_leader():
             if self._is_stalled(upstreams):
                 await self._discover_ranks(service, leader, upstreams)
--- a/src/amaranthrail/ranks/leader.py
+++ b/src/amaranthrail/ranks/leader.py
@@ -152,7 +152,8 @@
             _log.error('all ranks hold a step', step=step)
             return
         own_holder = self._random.choice(free)
-        # The other leader may still release the step that it holds.
+        # The other leader may still release the step at the ranks where it
+        # holds it, so it is held at another rank too.
         hold = MapOrder(OrderKind.HOLD, report.epoch, step=step)
         if not (await self._send_order(own_holder, hold)).accepted:
             return
@@ -200,7 +201,7 @@
         return ranks[self._group.sample_count % len(ranks)]
 
     def _sampled_ranks(self) -> list[int]:
-        """Return the ranks to sample, the same ones while all are known."""
+        """Return the ranks to sample, the same ones until one is removed."""
         group = self._group
         lost = set(group.sampled_ranks) - set(self._ranks)
         if lost or not group.sampled_ranks:
@@ -241,7 +242,7 @@
             group.placement = None
 
     def _detect_other_leader(self, report: RankReport) -> None:
-        """Back off if the report has a version that was not made here."""
+        """Back off if a version is reported that this leader did not choose."""
         group = self._group
         highest = max(
             report.version,
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -129,8 +129,8 @@
         assert changed
         await run_cycles(second, 8)
         assert max(group.versions) == changed
-        # The first leader's map fits the same demand, so the second one backs
-        # off, and only for a while.
+        # The second leader has seen the first one's change, so it backs off for
+        # a while, although its own map would fit the demand as well.
         assert second.is_backing_off
         await trio.sleep(BACKOFF_MS / 1000)
         assert not second.is_backing_off
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -211,7 +211,7 @@
 
 
 @pytest.mark.parametrize(
-    ('status', 'fields', 'unrun', 'replaced'),
+    ('status', 'fields', 'not_executed', 'replaced'),
     [
         (200, (), False, False),
         (500, (), False, False),
@@ -223,11 +223,11 @@
 def test_responses_that_prove_that_the_request_has_not_run(
     status: int,
     fields: Any,
-    unrun: bool,
+    not_executed: bool,
     replaced: bool,
 ) -> None:
     metadata = headers.read_response_metadata(status, fields)
-    assert metadata.not_executed is unrun
+    assert metadata.not_executed is not_executed
     assert metadata.replaced is replaced
 
 
