--- a/src/amaranthrail/direct/members.py
+++ b/src/amaranthrail/direct/members.py
@@ -12,8 +12,8 @@
     Member,
     is_leader,
     is_live,
+    is_successor,
     liveness_timeout_ms,
-    runs_longer_than,
 )
 
 #: Time for which a host without reports still counts as one that may run an
@@ -60,8 +60,7 @@
     def successor_count(self) -> int:
         """Count the entries that can serve sync requests after this one."""
         return sum(
-            runs_longer_than(member, self._own)
-            for member in self._live_members()
+            is_successor(member, self._own) for member in self._live_members()
         )
 
     @property
--- a/src/amaranthrail/policy/membership.py
+++ b/src/amaranthrail/policy/membership.py
@@ -69,7 +69,7 @@
     )
 
 
-def runs_longer_than(other: Member, own: Member) -> bool:
+def is_successor(other: Member, own: Member) -> bool:
     """Tell whether another entry has the cluster state after this one exits.
 
     Of entries that are shutting down, the last to begin is the last to exit.
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -11,8 +11,8 @@
     LIVENESS_TIMEOUT_MS,
     Member,
     is_leader,
+    is_successor,
     liveness_timeout_ms,
-    runs_longer_than,
 )
 
 SETTLED = 10_000.0
@@ -142,5 +142,5 @@
 
 def test_of_entries_that_shut_down_together_one_outlasts_the_rest() -> None:
     first, second = Member('a', 1, 0, 5000), Member('b', 1, 0, 5000)
-    assert runs_longer_than(second, first)
-    assert not runs_longer_than(first, second)
+    assert is_successor(second, first)
+    assert not is_successor(first, second)
