--- a/src/amaranthrail/policy/balancing.py
+++ b/src/amaranthrail/policy/balancing.py
@@ -94,5 +94,5 @@
 
 
 def rendezvous_score(key: str, node: str) -> int:
-    """Return the 64-bit rendezvous hash; a key belongs to its highest node."""
+    """Return a 64-bit hash; a key belongs to the node of its highest score."""
     return xxhash.xxh3_64_intdigest(f'{key}\0{node}'.encode())
--- a/src/amaranthrail/policy/demand.py
+++ b/src/amaranthrail/policy/demand.py
@@ -62,9 +62,10 @@
         self._decayed_at = now
 
     def update_counts(self, rank: int, counts: tuple[int, ...]) -> None:
-        """Add the increase of a rank's cumulative counts since its last ones.
+        """Add the increase of a rank's counts since its previous reading.
 
-        Counts of another length than this group's are ignored.
+        If the increase shows that demand has shifted, all earlier weights are
+        discarded. Counts of another length than this group's are ignored.
         """
         previous = self._last_counts.get(rank)
         if len(counts) != len(self._weights):
--- a/src/amaranthrail/policy/expertplan.py
+++ b/src/amaranthrail/policy/expertplan.py
@@ -67,7 +67,8 @@
 
     ``weights`` has the tokens of each expert. The plan is greedy: each change
     reduces the load of the most loaded rank, and the one with the largest gain
-    per new expert replica is made first.
+    per new expert replica is made first. The gain is the reduction of the sum
+    of the ranks' squared loads.
     """
     state = _PlanState(placement, weights)
     for _ in range(limits.spare * len(placement)):
@@ -75,10 +76,10 @@
             break
         changes = list(_candidate_changes(state, placement, limits, rng))
         gains = [state.gain_per_replica(change) for change in changes]
-        best = max(gains, default=0.0)
-        if best <= MIN_RELATIVE_GAIN * state.sum_of_squares:
+        best_gain = max(gains, default=0.0)
+        if best_gain <= MIN_RELATIVE_GAIN * state.sum_of_squares:
             break
-        state.apply(changes[gains.index(best)])
+        state.apply(changes[gains.index(best_gain)])
     return state.placement()
 
 
--- a/src/amaranthrail/policy/experts.py
+++ b/src/amaranthrail/policy/experts.py
@@ -160,12 +160,12 @@
         if target != source:
             new_times = _times_after(times, load, (source, target), expert_load)
             changes.append(_Change({expert: target}, max(new_times)))
-    for other, target in enumerate(ranks):
-        other_load = load.expert_loads[other]
+    for other_expert, target in enumerate(ranks):
+        other_load = load.expert_loads[other_expert]
         if target != source and other_load < expert_load:
             difference = expert_load - other_load
             new_times = _times_after(times, load, (source, target), difference)
-            moves = {expert: target, other: source}
+            moves = {expert: target, other_expert: source}
             changes.append(_Change(moves, max(new_times)))
     return changes
 
--- a/src/amaranthrail/policy/queueing.py
+++ b/src/amaranthrail/policy/queueing.py
@@ -17,7 +17,8 @@
 class QueuedWork:
     """Describe one item of queued work; times in milliseconds.
 
-    ``cost_ms`` is its expected time in a slot, and ``long`` its size class.
+    ``cost_ms`` is its expected time in a slot, and ``long`` says whether its
+    size class is long.
     """
 
     arrived_at: float
--- a/src/amaranthrail/policy/rebalancing.py
+++ b/src/amaranthrail/policy/rebalancing.py
@@ -18,8 +18,8 @@
 #: as both are billed.
 MODERATE_LOAD_SHARE = 0.5
 #: Time between two readings of counts at a high and at a moderate load, in ms.
-#: Each reading at a high load is of one rank, and a shift of demand shows in
-#: the next reading.
+#: Each reading but the first is of one rank, and a shift of demand shows in the
+#: next reading.
 HIGH_LOAD_INTERVAL_MS = 200.0
 MODERATE_LOAD_INTERVAL_MS = 800.0
 #: Least fraction of the most loaded rank's time that a change must save, at a
--- a/src/amaranthrail/policy/retryafter.py
+++ b/src/amaranthrail/policy/retryafter.py
@@ -12,7 +12,7 @@
 
 #: Shortest retry-after, in milliseconds.
 MIN_RETRY_AFTER_MS = 150.0
-#: Random addition where the expected wait is unknown, in milliseconds.
+#: Longest random addition, in milliseconds, where the expected wait is unknown.
 RETRY_AFTER_JITTER_MS = 600.0
 #: Longest retry-after at a load peak, as a fraction of the caller's remaining
 #: time; above a third callers retry sooner than they are told to.
--- a/src/amaranthrail/policy/shutdown.py
+++ b/src/amaranthrail/policy/shutdown.py
@@ -1,18 +1,18 @@
 """Decide which calls an entry accepts during its graceful shutdown.
 
 Load pattern: the entries of a failure domain are restarted one after the other,
-some seconds apart, while each finishes its streams. The balancer then also
-sends callers to entries that are shutting down, since too few others are ready.
-If all entries were restarted while the store is unreachable, the cluster state
-would be lost.
+some seconds apart, while each finishes its streams. The load balancer in front
+of them then also sends callers to entries that are shutting down, since too few
+others are ready. If all entries were restarted while the store is unreachable,
+the cluster state would be lost.
 """
 
 from __future__ import annotations
 
 #: Time after the stop signal in which new streams are accepted, in ms. The
-#: balancer sends new callers until it has missed two probes, a second apart.
-#: The users accept that the kill cuts streams off, but only those of the first
-#: 3 s.
+#: load balancer sends new callers until it has missed two probes, a second
+#: apart. The users accept that the kill cuts streams off, but only those that
+#: began in the first 3 s after the signal.
 STREAM_ACCEPT_MS = 2900.0
 #: Fraction of the time from the stop signal to the kill by which calls in
 #: progress must have ended.
@@ -24,7 +24,7 @@
 
     ``active`` is the number of calls in progress. While the store is
     unreachable, the cluster state is only in the entries: the last of them
-    waits until there is a successor, an entry that runs longer and knows it.
+    waits until there is a successor, an entry that exits later and has it too.
     """
     return not active and (not store_lost or successors > 0)
 
--- a/src/amaranthrail/policy/sizes.py
+++ b/src/amaranthrail/policy/sizes.py
@@ -40,9 +40,9 @@
 class SizeEstimate:
     """Hold a request's expected time in a slot and its size class.
 
-    ``prefix`` is the beginning of the prompt, and ``tokens`` the number of its
-    tokens and of those that may be generated. Both keep their defaults for a
-    plain operation.
+    ``long`` says whether its size class is long. ``prefix`` is the beginning of
+    the prompt, and ``tokens`` the number of its tokens and of those that may be
+    generated; both keep their defaults for a plain operation.
     """
 
     cost_ms: float
--- a/src/amaranthrail/policy/streamadmission.py
+++ b/src/amaranthrail/policy/streamadmission.py
@@ -53,7 +53,7 @@
 
     @property
     def is_first_request(self) -> bool:
-        """Tell from the time left that the caller was not refused before."""
+        """Tell by the time left whether this is the caller's first request."""
         return (
             not self.is_resumed
             and self.remaining_ms
--- a/src/amaranthrail/policy/subset.py
+++ b/src/amaranthrail/policy/subset.py
@@ -25,12 +25,12 @@
     for host in hosts:
         by_domain.setdefault(host.domain, []).append(host)
     domains = sorted(by_domain, key=partial(rendezvous_score, entry))
-    columns = [_by_score(entry, by_domain[domain]) for domain in domains]
+    columns = [_sorted_by_score(entry, by_domain[domain]) for domain in domains]
     interleaved = itertools.chain.from_iterable(itertools.zip_longest(*columns))
     return list(itertools.islice(filter(None, interleaved), size))
 
 
-def _by_score(entry: str, hosts: list[HostRecord]) -> list[HostRecord]:
+def _sorted_by_score(entry: str, hosts: list[HostRecord]) -> list[HostRecord]:
     def score(host: HostRecord) -> int:
         return rendezvous_score(entry, host.upstream)
 
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -203,7 +203,7 @@
 
 
 def test_outdated_map_is_changed_before_the_load_peaks() -> None:
-    # A demand shift at a low load triples the most loaded rank's share.
+    # A demand shift at a moderate load triples the most loaded rank's share.
     assert not has_high_load(65, TARGET_GAP_MS)
     assert should_change_map(0.65, 65, TARGET_GAP_MS)
     assert not should_change_map(0.3, 65, TARGET_GAP_MS)
--- a/tests/test_expertplan.py
+++ b/tests/test_expertplan.py
@@ -14,7 +14,7 @@
     plan_layer_set,
 )
 
-#: Load of the most loaded rank over the mean that the issue requires.
+#: Highest load of the most loaded rank over the mean that is required of plans.
 MAX_SKEW = 1.15
 LIMITS = PlanLimits(placements=5, spare=2)
 
@@ -27,7 +27,8 @@
 
 @pytest.mark.parametrize('seed', range(10))
 def test_three_plans_rebalance_after_a_shift(seed: int) -> None:
-    # It takes about a second until a plan is in use, and the target is 4 s.
+    # It takes about a second until a plan is in use, and the target is to
+    # rebalance within 4 s.
     rng = random.Random(seed)
     weights = zipf_weights(64, rng)
     initial = default_placement(64, 16)
--- a/tests/test_streamadmission.py
+++ b/tests/test_streamadmission.py
@@ -19,7 +19,7 @@
 from bench.wave import SCENES, returned, serve, worst_windows, worth
 
 SEEDS = (1, 2)
-#: Fraction of the callers that were refused once and must be served on retry.
+#: Least fraction of the callers refused once that must be served on retry.
 SERVED_ON_RETRY = 0.8
 FIRST_REQUEST = StreamRequest(remaining_ms=8000, route_timeout_ms=8000)
 RETRY = StreamRequest(remaining_ms=6000, route_timeout_ms=8000)
