--- a/src/amaranthrail/entry/administration.py
+++ b/src/amaranthrail/entry/administration.py
@@ -106,7 +106,7 @@
         authorization = request.header('authorization') or ''
         expected = f'Bearer {self._context.settings.admin_token}'
         if not hmac.compare_digest(authorization.encode(), expected.encode()):
-            problem = {'title': 'send the administration token'}
+            problem = {'title': 'give the administration token'}
             await send_json(reply, _UNAUTHORISED, problem)
             return
         handler = self._routes.get((request.method, request.path))
@@ -196,7 +196,7 @@
         order = _decode_order(request.body, _ResolveOrder)
         states = {'ran': AttemptState.RAN, 'not-run': AttemptState.VOID}
         if order is None or order.outcome not in states:
-            title = 'send outcome ("ran" or "not-run") and author'
+            title = 'give outcome ("ran" or "not-run") and author'
             await send_json(reply, _BAD_REQUEST, {'title': title})
             return
         quoted = request.path[len(_LOST_PREFIX) : -len(_RESOLVE_SUFFIX)]
@@ -240,7 +240,7 @@
         if not base.isdecimal():
             refusal = {
                 'outcome': 'refused',
-                'reason': 'base is not a version number',
+                'reason': 'base is no version',
             }
             await send_json(reply, _BAD_REQUEST, refusal)
             return
@@ -268,7 +268,7 @@
     ) -> None:
         order = _decode_order(request.body, _DrainOrder)
         if order is None:
-            title = 'send upstream, draining (true or false) and author'
+            title = 'give upstream, draining (true or false) and author'
             await send_json(reply, _BAD_REQUEST, {'title': title})
             return
         record = Drain(
--- a/src/amaranthrail/entry/callerhandler.py
+++ b/src/amaranthrail/entry/callerhandler.py
@@ -65,7 +65,7 @@
         ):
             refusal = not_run(
                 Reason.ORGANISATION_LIMIT,
-                f'{organisation} has its maximum of requests in progress',
+                f'{organisation} has all it may have in progress',
                 _RETRY_AFTER_MS,
             )
             self._count_refusal(refusal)
@@ -101,7 +101,7 @@
             )
         organisation = routes.authenticate(request.header('authorization'))
         if organisation is None:
-            return not_run(Reason.BAD_CREDENTIAL, 'send a valid Bearer token')
+            return not_run(Reason.BAD_CREDENTIAL, 'give a known Bearer token')
         route_and_size = _find_route(routes, request)
         if isinstance(route_and_size, Refusal):
             return route_and_size
@@ -143,8 +143,8 @@
     if model_call is None:
         return not_run(
             Reason.BAD_REQUEST,
-            'the body must be a JSON object with model, messages or prompt, '
-            'and a positive max_tokens',
+            'the body is no JSON object with model, messages or prompt, and '
+            'a positive max_tokens',
         )
     route = routes.find_model_route(model_call.model, request.path)
     if route is None:
@@ -166,7 +166,7 @@
             return float(deadline)
     return not_run(
         Reason.BAD_REQUEST,
-        f'X-Deadline-Ms is {header!r:.40}: send 1 to {_MAX_DEADLINE_MS}',
+        f'X-Deadline-Ms is {header!r:.40}: give 1 to {_MAX_DEADLINE_MS}',
     )
 
 
@@ -178,5 +178,5 @@
         return None
     return not_run(
         Reason.BAD_REQUEST,
-        f'Idempotency-Key: send up to {_MAX_KEY_LENGTH} printable characters',
+        f'Idempotency-Key: give up to {_MAX_KEY_LENGTH} printable characters',
     )
--- a/src/amaranthrail/entry/conclusions.py
+++ b/src/amaranthrail/entry/conclusions.py
@@ -90,12 +90,10 @@
             f'resolved as {record.state.value} by {record.resolution.author}',
         )
     if record.state is AttemptState.VOID:
-        return not_run(Reason.VOIDED, 'voided before it started')
+        return not_run(Reason.VOIDED, 'voided before its start')
     if record.state is AttemptState.RAN and conclusion is not None:
         if conclusion.reason:
-            return Refusal(
-                Outcome.RAN, Reason.RESPONSE_TOO_LARGE, 'not recorded'
-            )
+            return Refusal(Outcome.RAN, Reason.RESPONSE_TOO_LARGE, 'not kept')
         return HttpResponse(
             conclusion.status,
             conclusion.headers,
@@ -108,5 +106,5 @@
     """Return the refusal of a key used before with a different request."""
     return not_run(
         Reason.KEY_REUSED,
-        f'key {key} was used with a different request',
+        f'key {key} came with another request',
     )
--- a/src/amaranthrail/entry/context.py
+++ b/src/amaranthrail/entry/context.py
@@ -136,7 +136,7 @@
         if not peers:
             return not_run(
                 Reason.NO_REPLICA,
-                f'no available replica of {service.name}',
+                f'no replica of {service.name} takes work',
                 _NO_REPLICA_RETRY_AFTER_MS,
             )
         by_name = {peer.name: peer for peer in peers}
--- a/src/amaranthrail/entry/forward.py
+++ b/src/amaranthrail/entry/forward.py
@@ -96,7 +96,7 @@
         peer.close(exchange, cancel=True)
     if has_expired:
         return unknown_outcome(
-            Reason.EXPIRED, 'no complete response by the deadline'
+            Reason.EXPIRED, 'no whole answer by the deadline'
         )
     return failure
 
--- a/src/amaranthrail/entry/inquiries.py
+++ b/src/amaranthrail/entry/inquiries.py
@@ -36,7 +36,7 @@
         Return ``peer-gone`` when it is not complete after ``timeout_ms``.
         """
         call_result: CallResult = unknown_outcome(
-            Reason.PEER_GONE, 'no response in time'
+            Reason.PEER_GONE, 'no answer in time'
         )
         try:
             with move_on_after(timeout_ms):
--- a/src/amaranthrail/entry/keyedrequests.py
+++ b/src/amaranthrail/entry/keyedrequests.py
@@ -100,7 +100,7 @@
                 await job.done.wait()
             if not job.done.is_set():
                 return unknown_outcome(
-                    Reason.STILL_RUNNING, 'retry with the same key'
+                    Reason.STILL_RUNNING, 'ask again with this key'
                 )
             if not _ended_by_earlier_deadline(job, call):
                 return job.call_result
@@ -154,7 +154,7 @@
         job = self._jobs.get(key)
         if job is None:
             refusal = not_run(
-                Reason.LOG_UNAVAILABLE, 'no response from the log'
+                Reason.LOG_UNAVAILABLE, 'the log has not answered'
             )
             job = _Job(digest, trio.Event(), refusal, call.deadline)
             self._jobs[key] = job
--- a/src/amaranthrail/entry/settlement.py
+++ b/src/amaranthrail/entry/settlement.py
@@ -112,7 +112,7 @@
         )
         return unknown_outcome(
             Reason.PEER_GONE,
-            f'{intent.upstream} ended before it reported the outcome',
+            f'{intent.upstream} ended before it told the outcome',
         )
 
     async def confirm_void(self, intent: Intent, reason: Reason) -> CallResult:
@@ -122,7 +122,7 @@
         entry.
         """
         await self.wait_concluded(intent, RECORD_WAIT_MS)
-        return not_run(reason, 'voided before it started', int(MS_PER_SECOND))
+        return not_run(reason, 'voided before its start', int(MS_PER_SECOND))
 
     def _is_open(self, intent: Intent) -> bool:
         record = self._key_table.find(IdempotencyKey(intent.key))
