--- a/src/amaranthrail/entry/call.py
+++ b/src/amaranthrail/entry/call.py
@@ -43,7 +43,8 @@
     """Hold a request with its organisation, route, size and deadline.
 
     ``deadline`` is in monotonic milliseconds. ``request_id`` is sent to the
-    upstream and to the caller as ``X-Request-Id``.
+    upstream and to the caller as ``X-Request-Id``; each exchange with a sidecar
+    has an id of its own.
     """
 
     request: HttpRequest
--- a/src/amaranthrail/entry/conclusions.py
+++ b/src/amaranthrail/entry/conclusions.py
@@ -1,4 +1,4 @@
-"""Record the conclusions of keyed attempts and answer from them."""
+"""Record the conclusions of keyed attempts and respond from the record."""
 
 from __future__ import annotations
 
@@ -82,7 +82,7 @@
 
 
 def recorded_result(record: KeyRecord) -> CallResult:
-    """Return the response or refusal that the record of a key stands for."""
+    """Return the recorded response of a key, or the refusal for its state."""
     conclusion = record.conclusion
     if record.resolution is not None:
         return unknown_outcome(
--- a/src/amaranthrail/entry/context.py
+++ b/src/amaranthrail/entry/context.py
@@ -126,7 +126,7 @@
     ) -> Peer | Refusal:
         """Return the peer for a call, or the refusal of the call.
 
-        ``excluded`` peers are used only when no other peer takes new work. A
+        ``excluded`` peers are used only when no other peer accepts new work. A
         call ``admitted`` before, as on a retry, is not checked again against
         its organisation's fair share.
         """
@@ -160,7 +160,7 @@
         *,
         admitted: bool,
     ) -> Refusal | None:
-        demand = AdmissionRequest(
+        admission_request = AdmissionRequest(
             call.organisation.name,
             call.size.cost_ms,
             call.remaining_ms(self._runtime.clock),
@@ -168,7 +168,7 @@
         )
         shares = FairShares() if admitted else self._shares
         weights = self.routes.weights if self.routes else {}
-        return check_admission(demand, shares, weights)
+        return check_admission(admission_request, shares, weights)
 
     def _balancer(self, service: Service) -> Balancer:
         balancers = self._policies.balancers
--- a/src/amaranthrail/entry/exchange.py
+++ b/src/amaranthrail/entry/exchange.py
@@ -1,4 +1,4 @@
-"""Assemble a sidecar's frames into a response and check that it is whole."""
+"""Assemble a response from a sidecar's frames; check that it is complete."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
         self._request = request
         self._opening = opening
         self._head: ResponseHead | None = None
-        self._parts: deque[bytes] = deque()
+        self._chunks: deque[bytes] = deque()
         self._received = 0
         self._consumed = 0
         self._acked = 0
@@ -91,7 +91,7 @@
                 if self._head is None:
                     self._head = frame
             case ResponseData():
-                self._accept_part(frame)
+                self._accept_data(frame)
             case ResponseEnd():
                 self._accept_end(frame)
             case Refused():
@@ -122,16 +122,16 @@
             return self._failure or unknown_outcome(Reason.PEER_GONE)
         return self._head
 
-    async def next_part(self) -> bytes | Refusal | None:
+    async def next_chunk(self) -> bytes | Refusal | None:
         """Wait for body bytes; return them, None at the end, or the failure."""
-        while not self._parts:
+        while not self._chunks:
             if self._failure is not None:
                 return self._failure
             if self._complete:
                 return None
             await self._changed.wait()
-        payload = b''.join(self._parts)
-        self._parts.clear()
+        payload = b''.join(self._chunks)
+        self._chunks.clear()
         self._consumed += len(payload)
         return payload
 
@@ -139,23 +139,23 @@
         """Wait for the complete body; return it or the failure."""
         body = bytearray()
         while True:
-            part = await self.next_part()
-            if part is None:
+            chunk = await self.next_chunk()
+            if chunk is None:
                 return bytes(body)
-            if isinstance(part, Refusal):
-                return part
-            body += part
+            if isinstance(chunk, Refusal):
+                return chunk
+            body += chunk
 
-    def _accept_part(self, part: ResponseData) -> None:
-        if part.offset > self._received:
-            gap = f'bytes {self._received} to {part.offset} are missing'
+    def _accept_data(self, frame: ResponseData) -> None:
+        if frame.offset > self._received:
+            gap = f'bytes {self._received} to {frame.offset} are missing'
             self.fail(unknown_outcome(Reason.UPSTREAM_BROKEN, gap))
             return
-        new_bytes = part.payload[self._received - part.offset :]
+        new_bytes = frame.payload[self._received - frame.offset :]
         if new_bytes:
             self._digest.update(new_bytes)
             self._received += len(new_bytes)
-            self._parts.append(new_bytes)
+            self._chunks.append(new_bytes)
 
     def _accept_end(self, end: ResponseEnd) -> None:
         same_length = end.length == self._received
--- a/src/amaranthrail/entry/forward.py
+++ b/src/amaranthrail/entry/forward.py
@@ -20,7 +20,7 @@
 _STREAM_TYPE = 'text/event-stream'
 _LAST_EVENT = b'data: [DONE]\n\n'
 #: Refusals because the configuration or the sidecar changed while the dispatch
-#: was on its way. The upstream got no request, so that another attempt is not
+#: was on its way. The upstream got no request, so another attempt is not
 #: charged to the retry budget.
 _UNBUDGETED_REASONS = frozenset(
     (
@@ -122,12 +122,12 @@
 async def _read_body(peer: Peer, exchange: Exchange) -> bytes | Refusal:
     body = bytearray()
     while True:
-        part = await exchange.next_part()
-        if part is None:
+        chunk = await exchange.next_chunk()
+        if chunk is None:
             return bytes(body)
-        if isinstance(part, Refusal):
-            return part
-        body += part
+        if isinstance(chunk, Refusal):
+            return chunk
+        body += chunk
         peer.acknowledge(exchange)
 
 
@@ -141,12 +141,12 @@
     await reply.start(head.status, response_headers(head.headers, call))
     withheld = b''
     while True:
-        part = await exchange.next_part()
-        if isinstance(part, Refusal):
-            return part
-        if part is None:
+        chunk = await exchange.next_chunk()
+        if isinstance(chunk, Refusal):
+            return chunk
+        if chunk is None:
             break
-        events, withheld = _split_last_event(withheld + part)
+        events, withheld = _split_last_event(withheld + chunk)
         if events:
             await reply.send_chunk(events)
         peer.acknowledge(exchange)
@@ -159,7 +159,7 @@
 def _split_last_event(payload: bytes) -> tuple[bytes, bytes]:
     """Split off a final ``[DONE]`` event, which marks a complete stream.
 
-    It is sent only once the whole response has been received.
+    It is sent only once the complete response has been received.
     """
     if payload.endswith(_LAST_EVENT):
         end = len(payload) - len(_LAST_EVENT)
--- a/src/amaranthrail/entry/inquiries.py
+++ b/src/amaranthrail/entry/inquiries.py
@@ -1,4 +1,4 @@
-"""Inquire of sidecars about the outcome of keyed attempts."""
+"""Query sidecars about the outcome of keyed attempts."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
         peer: Peer | None,
         intent: Intent,
     ) -> CallResult | None:
-        """Inquire about an attempt, voiding it if it has not started.
+        """Query the outcome of an attempt, voiding it if it has not started.
 
         Return None when the sidecar is not connected or does not respond.
         """
@@ -67,7 +67,7 @@
         return None if is_gone else call_result
 
     async def inquire_key(self, call: Call) -> CallResult | None:
-        """Inquire about a call's key at all connected sidecars of the service.
+        """Query a call's key at all connected sidecars of the service.
 
         The inquiries run concurrently and void nothing. The first response of a
         request that ran ends the others. Return None when no sidecar knows the
--- a/src/amaranthrail/entry/keyedrequests.py
+++ b/src/amaranthrail/entry/keyedrequests.py
@@ -26,10 +26,11 @@
 from .peers import Peer
 from .settlement import RECORD_WAIT_MS, AttemptSettlement
 
-#: How long another entry may take to conclude its intent before its sidecar is
-#: asked.
+#: How long another entry may take to conclude its intent before the sidecar is
+#: queried.
 OWNER_WAIT_MS = 1000.0
-#: Time kept of a call's deadline to tell the caller that nothing was recorded.
+#: Part of the time to a call's deadline that is reserved for the refusal when
+#: nothing was recorded.
 REFUSAL_RESERVE_MS = 100.0
 #: An intent claimed later than this after its creation is not dispatched. A
 #: sidecar remembers voided intents for longer (gate.VOID_RETENTION_MS), so that
@@ -208,7 +209,7 @@
         return min(RECORD_WAIT_MS, remaining_ms - REFUSAL_RESERVE_MS)
 
     async def _inquire_or_refuse(self, call: Call, detail: str) -> CallResult:
-        """Answer while the key's record may be out of date.
+        """Return a result while the key's record may be out of date.
 
         This request is not run, but its key may have run through another
         entry: a sidecar that knows the key has the response.
@@ -229,7 +230,7 @@
         return recorded_result(record)
 
     async def _await_conclusion(self, intent: Intent) -> CallResult:
-        """Wait for the claiming entry's conclusion, then ask the sidecar."""
+        """Wait for the claiming entry's conclusion, then query the sidecar."""
         key = IdempotencyKey(intent.key)
         if not await self._settlement.wait_concluded(intent, OWNER_WAIT_MS):
             return await self._settlement.settle(intent)
@@ -295,8 +296,8 @@
         with move_on_after(self._record_wait_ms(call)):
             while True:
                 record = self._key_table.find(IdempotencyKey(intent.key))
-                is_newer = record and record.intent.attempt >= intent.attempt
-                if record is not None and is_newer:
+                is_decided = record and record.intent.attempt >= intent.attempt
+                if record is not None and is_decided:
                     return record
                 await self._key_table.wait_changed()
         return None
--- a/src/amaranthrail/entry/keytable.py
+++ b/src/amaranthrail/entry/keytable.py
@@ -48,7 +48,7 @@
     def __init__(self) -> None:
         """Start with an empty table, before the first record is applied."""
         self._records: dict[IdempotencyKey, KeyRecord] = {}
-        self._pending: dict[IdempotencyKey, KeyRecord] = {}
+        self._open_or_lost: dict[IdempotencyKey, KeyRecord] = {}
         self._retained_from: dict[int, int] = {}
         self._skipped = 0
         self._contradictions = 0
@@ -101,7 +101,7 @@
         return '' if record is None else record.id
 
     def forget(self, shard: int, first_offset: int) -> None:
-        """Drop the keys of a shard whose latest record has left the log.
+        """Drop the keys of a shard whose latest record the log no longer has.
 
         ``first_offset`` is the oldest offset that the log still retains.
         """
@@ -115,11 +115,13 @@
         ]
         for key in expired:
             del self._records[key]
-            self._pending.pop(key, None)
+            self._open_or_lost.pop(key, None)
 
     def _in_state(self, state: AttemptState) -> list[KeyRecord]:
         return [
-            record for record in self._pending.values() if record.state is state
+            record
+            for record in self._open_or_lost.values()
+            if record.state is state
         ]
 
     def _apply_fact(self, shard: int, entry: LogEntry, fact: AnyFact) -> None:
@@ -138,9 +140,9 @@
     def _store(self, key: IdempotencyKey, updated: KeyRecord) -> None:
         self._records[key] = updated
         if updated.state in {AttemptState.OPEN, AttemptState.LOST}:
-            self._pending[key] = updated
+            self._open_or_lost[key] = updated
         else:
-            self._pending.pop(key, None)
+            self._open_or_lost.pop(key, None)
 
     def _apply_conclusion(
         self,
--- a/src/amaranthrail/entry/load.py
+++ b/src/amaranthrail/entry/load.py
@@ -25,6 +25,7 @@
         self._name = name
         self._slots = 1
         self._reported_at = 0.0
+        # By whether the work is long.
         self._own = {False: NO_WORK, True: NO_WORK}
         self._others = {False: NO_WORK, True: NO_WORK}
 
--- a/src/amaranthrail/entry/peers.py
+++ b/src/amaranthrail/entry/peers.py
@@ -143,8 +143,8 @@
     def accepts_work(self) -> bool:
         """Tell whether new requests may be dispatched to the sidecar.
 
-        It must be connected, and neither its heartbeats, the host list nor an
-        operator's drain may say that it is shutting down.
+        It must be connected, not shutting down by its heartbeats or the host
+        list, and not drained by an operator.
         """
         if self._load is None or self._link is None:
             return False
@@ -172,7 +172,7 @@
             self._scope.cancel()
 
     def candidate(self, long_share: float, *, long: bool) -> Candidate:
-        """Return the expected wait at the replica, as input for balancing."""
+        """Return the replica and its expected wait, own dispatches included."""
         return self._tracker.candidate(long_share, long=long)
 
     def dispatch(
@@ -192,7 +192,7 @@
         return exchange
 
     def inquire_intent(self, intent: str) -> Exchange:
-        """Ask for an attempt's outcome; the sidecar voids it if not started."""
+        """Query an attempt's outcome; the sidecar voids it if not started."""
         request = self._context.next_request()
         incarnation = self._incarnation or ''
         exchange = Exchange(request, AttemptQuery(request, incarnation, intent))
@@ -200,7 +200,7 @@
         return exchange
 
     def inquire_key(self, key: str) -> Exchange:
-        """Ask for the outcome of a key at the sidecar, voiding nothing."""
+        """Query the outcome of a key at the sidecar, voiding nothing."""
         request = self._context.next_request()
         exchange = Exchange(request, KeyQuery(request, key))
         self._send_opening(exchange)
--- a/src/amaranthrail/entry/renewal.py
+++ b/src/amaranthrail/entry/renewal.py
@@ -39,7 +39,7 @@
         control: StreamConsumer,
         shards: Shards,
     ) -> None:
-        """Take the log, the follower of the control stream, and the shards."""
+        """Take the log, the consumer of the control stream, and the shards."""
         self._runtime = runtime
         self._log = log
         self._control = control
@@ -99,11 +99,11 @@
             self._shards.add(record.conclusion)
 
     def _is_due(self, recorded_at: int, subject: str) -> bool:
-        retention = self._control.retention_ms
-        if retention <= 0:
+        retention_ms = self._control.retention_ms
+        if retention_ms <= 0:
             return False
         stagger = (
             rendezvous_score(subject, self._runtime.incarnation) % 100 / 100
         )
-        bound = retention * (_RENEW_SHARE + _STAGGER_SHARE * stagger)
-        return self._runtime.clock.wall() - recorded_at > bound
+        max_age_ms = retention_ms * (_RENEW_SHARE + _STAGGER_SHARE * stagger)
+        return self._runtime.clock.wall() - recorded_at > max_age_ms
--- a/src/amaranthrail/entry/settlement.py
+++ b/src/amaranthrail/entry/settlement.py
@@ -80,7 +80,7 @@
         return call_result
 
     async def settle(self, intent: Intent) -> CallResult:
-        """Inquire of the sidecar until the outcome of an attempt is known.
+        """Query the sidecar until the outcome of an attempt is known.
 
         The attempt is recorded as lost when the sidecar's incarnation has ended
         or when ``lost_grace_ms`` after its deadline have passed, but not before
--- a/src/amaranthrail/entry/shards.py
+++ b/src/amaranthrail/entry/shards.py
@@ -53,12 +53,12 @@
         self._unanswered_count = 0
         self._appending_id = ''
         self._read_back = trio.Event()
-        self._follower = StreamConsumer(log, shard_stream(number), self._apply)
+        self._consumer = StreamConsumer(log, shard_stream(number), self._apply)
 
     @property
-    def follower(self) -> StreamConsumer:
-        """Return the follower that reads the shard."""
-        return self._follower
+    def consumer(self) -> StreamConsumer:
+        """Return the consumer that reads the shard."""
+        return self._consumer
 
     @property
     def pending_count(self) -> int:
@@ -83,7 +83,7 @@
     async def run(self) -> None:
         """Append queued facts and follow the shard until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._follower.run)
+            nursery.start_soon(self._consumer.run)
             nursery.start_soon(self._append_loop)
 
     async def _append_loop(self) -> None:
@@ -153,7 +153,7 @@
     @property
     def reachable(self) -> bool:
         """Tell whether the latest read of every shard succeeded."""
-        return all(shard.follower.reachable for shard in self._shards)
+        return all(shard.consumer.reachable for shard in self._shards)
 
     @property
     def pending_count(self) -> int:
@@ -181,12 +181,12 @@
 
     async def wait_caught_up(self, key: IdempotencyKey) -> None:
         """Wait until the key's shard has been read to its end once."""
-        await self.shard_of(key).follower.wait_caught_up()
+        await self.shard_of(key).consumer.wait_caught_up()
 
     def forget_expired(self) -> None:
         """Drop the keys whose records the log no longer retains."""
         for number, shard in enumerate(self._shards):
-            self._key_table.forget(number, shard.follower.oldest_offset)
+            self._key_table.forget(number, shard.consumer.oldest_offset)
 
     async def run(self) -> None:
         """Append to and follow all shards until cancelled."""
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -27,6 +27,7 @@
 
 #: Longer than every lease and staleness limit of the processes (3 s).
 FAULT_S = 3.6
+#: Time of the workload without faults, before and after them.
 BEFORE_S = 0.4
 AFTER_S = 1.0
 RETENTION_MS = 3000
@@ -186,10 +187,10 @@
     workload.stop()
     outcome_counts = check_outcomes(fleet, workload)
     assert outcome_counts['ran'], outcome_counts
-    lost_count = peers_lost(fleet, since)
+    lost_peer_count = peers_lost(fleet, since)
     unanswered = appends_unanswered(fleet) - unanswered
     evidence = Seen(
-        outcome_counts, workload.max_duration_s, lost_count, unanswered
+        outcome_counts, workload.max_duration_s, lost_peer_count, unanswered
     )
     # One of two faults may mask the other, so one visible effect is enough.
     checks = [fault.felt for fault in faults if fault.felt is not None]
