--- a/src/amaranthrail/entry/conclusions.py
+++ b/src/amaranthrail/entry/conclusions.py
@@ -1,4 +1,4 @@
-"""Record the conclusions of keyed attempts and answer from them."""
+"""Record the conclusions of keyed attempts and respond from the record."""
 
 from __future__ import annotations
 
@@ -82,7 +82,7 @@
 
 
 def recorded_result(record: KeyRecord) -> CallResult:
-    """Return the response or refusal that the record of a key stands for."""
+    """Return the recorded response of a key, or the refusal for its state."""
     conclusion = record.conclusion
     if record.resolution is not None:
         return unknown_outcome(
@@ -90,12 +90,10 @@
             f'resolved as {record.state.value} by {record.resolution.author}',
         )
     if record.state is AttemptState.VOID:
-        return not_run(Reason.VOIDED, 'voided before it started')
+        return not_run(Reason.VOIDED, 'voided before its start')
     if record.state is AttemptState.RAN and conclusion is not None:
         if conclusion.reason:
-            return Refusal(
-                Outcome.RAN, Reason.RESPONSE_TOO_LARGE, 'not recorded'
-            )
+            return Refusal(Outcome.RAN, Reason.RESPONSE_TOO_LARGE, 'not kept')
         return HttpResponse(
             conclusion.status,
             conclusion.headers,
@@ -108,5 +106,5 @@
     """Return the refusal of a key used before with a different request."""
     return not_run(
         Reason.KEY_REUSED,
-        f'key {key} was used with a different request',
+        f'key {key} came with another request',
     )
--- a/src/amaranthrail/entry/context.py
+++ b/src/amaranthrail/entry/context.py
@@ -126,7 +126,7 @@
     ) -> Peer | Refusal:
         """Return the peer for a call, or the refusal of the call.
 
-        ``excluded`` peers are used only when no other peer takes new work. A
+        ``excluded`` peers are used only when no other peer accepts new work. A
         call ``admitted`` before, as on a retry, is not checked again against
         its organisation's fair share.
         """
@@ -136,7 +136,7 @@
         if not peers:
             return not_run(
                 Reason.NO_REPLICA,
-                f'no available replica of {service.name}',
+                f'no replica of {service.name} takes work',
                 _NO_REPLICA_RETRY_AFTER_MS,
             )
         by_name = {peer.name: peer for peer in peers}
@@ -160,7 +160,7 @@
         *,
         admitted: bool,
     ) -> Refusal | None:
-        demand = AdmissionRequest(
+        admission_request = AdmissionRequest(
             call.organisation.name,
             call.size.cost_ms,
             call.remaining_ms(self._runtime.clock),
@@ -168,7 +168,7 @@
         )
         shares = FairShares() if admitted else self._shares
         weights = self.routes.weights if self.routes else {}
-        return check_admission(demand, shares, weights)
+        return check_admission(admission_request, shares, weights)
 
     def _balancer(self, service: Service) -> Balancer:
         balancers = self._policies.balancers
