--- a/src/amaranthrail/configuration.py
+++ b/src/amaranthrail/configuration.py
@@ -179,7 +179,7 @@
             return
         current = self._read_version
         if record.base != current:
-            reason = f'based on version {record.base}, {current} is in force'
+            reason = f'made from version {record.base}, {current} is in force'
             self._publish_results[record.id] = PublishResult(current, reason)
             return
         text = bytes(record.manifest)
