--- a/src/amaranthrail/frames.py
+++ b/src/amaranthrail/frames.py
@@ -307,13 +307,13 @@
             self._unpacker.feed(received)
             return [_convert_frame(raw) for raw in self._unpacker]
         except _MALFORMED as error:
-            raise FrameError(f'invalid frame: {error}') from error
+            raise FrameError(f'no valid frame: {error}') from error
 
 
 def _convert_frame(raw: list[object]) -> AnyFrame:
     """Return the frame of an unpacked array; raise a _MALFORMED error."""
     frame_class = _CLASS_BY_TAG.get(raw[0])
     if frame_class is None:
-        raise ValueError(f'unknown frame tag {raw[0]!r:.40}')
+        raise ValueError(f'no frame has tag {raw[0]!r:.40}')
     frame: AnyFrame = msgspec.convert(raw, frame_class)
     return frame
--- a/src/amaranthrail/manifest.py
+++ b/src/amaranthrail/manifest.py
@@ -184,7 +184,7 @@
     seen: set[str] = set()
     for name in names:
         if name in seen:
-            raise ValueError(f'{kind} {name!r} appears more than once')
+            raise ValueError(f'{kind} {name!r} stands more than once')
         seen.add(name)
 
 
--- a/src/amaranthrail/orders.py
+++ b/src/amaranthrail/orders.py
@@ -111,7 +111,7 @@
     try:
         return msgspec.msgpack.decode(payload, type=AnyOrder)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise FrameError(f'invalid order: {error}') from error
+        raise FrameError(f'no valid order: {error}') from error
 
 
 def decode_reply(payload: bytes) -> AnyReply:
@@ -119,4 +119,4 @@
     try:
         return msgspec.msgpack.decode(payload, type=AnyReply)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise FrameError(f'invalid reply: {error}') from error
+        raise FrameError(f'no valid reply: {error}') from error
