--- a/src/amaranthrail/configpulls.py
+++ b/src/amaranthrail/configpulls.py
@@ -5,7 +5,8 @@
 from .clock import Clock
 from .configuration import Configuration
 
-#: Time after which another peer may be asked for the same versions, in ms.
+#: Time after which versions that have not arrived may be requested again, from
+#: the next peer that reports them, in ms.
 PULL_RETRY_MS = 500.0
 
 
@@ -16,8 +17,8 @@
         """Initialize with the configuration to compare peers' versions with."""
         self._clock = clock
         self._configuration = configuration
-        self._asked = (0, 0)
-        self._asked_at = clock.now()
+        self._requested = (0, 0)
+        self._requested_at = clock.now()
 
     def should_pull(self, version: int, drains_version: int) -> bool:
         """Return whether to request these versions from the peer that has them.
@@ -29,10 +30,10 @@
         if not ahead and drains_version <= self._configuration.drains_version:
             return False
         now = self._clock.now()
-        asked = (version, drains_version)
-        recently = now - self._asked_at < PULL_RETRY_MS
-        if recently and asked <= self._asked:
+        requested = (version, drains_version)
+        recently = now - self._requested_at < PULL_RETRY_MS
+        if recently and requested <= self._requested:
             return False
-        self._asked = asked
-        self._asked_at = now
+        self._requested = requested
+        self._requested_at = now
         return True
--- a/src/amaranthrail/consumer.py
+++ b/src/amaranthrail/consumer.py
@@ -88,7 +88,7 @@
         self._oldest_offset = int(batch.oldest_offset)
         self._retention_ms = batch.retention_ms
         for entry in batch.records:
-            # A lagging reader on the log service's side may return old records.
+            # A lagging read replica of the log service may return old records.
             if entry.offset > self._position:
                 self._position = int(entry.offset)
                 self._apply(self._oldest_offset, entry)
--- a/src/amaranthrail/orders.py
+++ b/src/amaranthrail/orders.py
@@ -15,7 +15,7 @@
 
 
 class Ballot(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """Number one attempt of a coordinator; the higher ballot wins."""
+    """Identify one round of a coordinator's orders; the higher ballot wins."""
 
     number: int
     rank: int
--- a/src/amaranthrail/ports.py
+++ b/src/amaranthrail/ports.py
@@ -92,7 +92,8 @@
     ``armed`` and ``armed_ranks`` are the armed map, 0 and empty for none.
     ``step`` is the current step. ``joining`` is true after a restart, until
     the engine has the group's map. ``loads`` has one number per expert, 0 for
-    those that this rank does not hold; ``speed`` is relative to 1.
+    those that this rank does not hold; ``speed`` is relative to that of a
+    normal rank, 1.
     """
 
     step: int
@@ -107,7 +108,7 @@
 
 
 class RankEnginePort(Protocol):
-    """Control one rank's engine; ``fence`` increases with each coordinator."""
+    """Control one rank's engine; ``fence`` is a ballot's fencing number."""
 
     async def state(self) -> EngineState | None:
         """Return the engine's state, None if it does not respond."""
--- a/src/amaranthrail/requestlog.py
+++ b/src/amaranthrail/requestlog.py
@@ -12,7 +12,9 @@
 #: Time before a request's first line from which changes of the local view of
 #: its processes are included.
 VIEW_LOOKBACK = timedelta(seconds=10)
-#: Prefixes of events that show changes of a process's local view.
+#: Prefixes of events that show changes of a process's local view (see
+#: logs.part_logger); ``world`` is that of direct.clusterstate, ``keeper`` that
+#: of ranks.controller.
 VIEW_PARTS = ('world:', 'upstreams:', 'sync:', 'keeper:', 'leader:', 'entry:')
 #: Fields that a formatted line does not repeat as name=value.
 _OMITTED_FIELDS = frozenset(
@@ -20,13 +22,13 @@
 )
 
 
-class _WireLine(msgspec.Struct):
+class _JsonLine(msgspec.Struct):
     timestamp: datetime
     event: str
     process: str = ''
 
 
-_line_decoder = msgspec.json.Decoder(_WireLine)
+_line_decoder = msgspec.json.Decoder(_JsonLine)
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,15 +57,15 @@
     A line may have other text before its JSON object.
     """
     for raw in text:
-        begin = raw.find('{')
-        if begin < 0:
+        json_start = raw.find('{')
+        if json_start < 0:
             continue
         try:
-            line = _line_decoder.decode(raw[begin:])
+            line = _line_decoder.decode(raw[json_start:])
         except msgspec.DecodeError:
             # Not a structured line, such as a traceback.
             continue
-        fields = msgspec.json.decode(raw[begin:])
+        fields = msgspec.json.decode(raw[json_start:])
         yield LogLine(line.timestamp, line.process, line.event, fields)
 
 
@@ -81,12 +83,12 @@
     if not request_lines:
         return []
     processes = {line.process for line in request_lines}
-    begin = request_lines[0].at - VIEW_LOOKBACK
+    view_start = request_lines[0].at - VIEW_LOOKBACK
     view_changes = [
         line
         for line in all_lines
         if line.process in processes
-        and begin <= line.at <= request_lines[-1].at
+        and view_start <= line.at <= request_lines[-1].at
         and line.event.startswith(VIEW_PARTS)
     ]
     return sorted((*request_lines, *view_changes), key=_time_of)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -36,12 +36,12 @@
     reader = Configuration()
     _apply_log(log, reader)
     results = [reader.publish_result(name) for name in ('one', 'two', 'three')]
-    assert [outcome and outcome.accepted for outcome in results] == [
+    assert [result and result.accepted for result in results] == [
         True,
         False,
         False,
     ]
-    assert {outcome and outcome.version for outcome in results} == {1}
+    assert {result and result.version for result in results} == {1}
     assert reader.version == 1
 
 
@@ -52,9 +52,9 @@
         log.put(CONTROL_STREAM, text)
     reader = Configuration()
     _apply_log(log, reader)
-    outcome = reader.publish_result('one')
-    assert outcome is not None
-    assert outcome.accepted
+    result = reader.publish_result('one')
+    assert result is not None
+    assert result.accepted
     assert reader.version == 1
 
 
@@ -64,9 +64,9 @@
     log.put(CONTROL_STREAM, valid.replace(b'"format"', b'"farmat"'))
     reader = Configuration()
     _apply_log(log, reader)
-    outcome = reader.publish_result('bad')
-    assert outcome is not None
-    assert 'farmat: Extra inputs' in outcome.reason
+    result = reader.publish_result('bad')
+    assert result is not None
+    assert 'farmat: Extra inputs' in result.reason
     assert reader.version == 0
 
 
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -123,13 +123,13 @@
         payload = json.dumps(completion).encode()
         async with (
             client.exchange('POST', PATH, headers, payload) as exchange,
-            aclosing(exchange.body_chunks()) as parts,
+            aclosing(exchange.body_chunks()) as chunks,
         ):
-            async for part in parts:
-                # Shutdown starts with the first part; the signal may be
+            async for chunk in chunks:
+                # Shutdown starts with the first chunk; the signal may be
                 # repeated.
                 entry.child.send(signal.SIGTERM)
-                received.append(part)
+                received.append(chunk)
         return received
 
     received = run(stream)
