--- a/src/amaranthrail/adapters/dial.py
+++ b/src/amaranthrail/adapters/dial.py
@@ -29,7 +29,11 @@
 
 
 def _underlying_error(error: OSError) -> OSError:
-    """Return the error of one address from trio's error for all of them."""
+    """Return the error of the first address that failed.
+
+    trio.open_tcp_stream raises a plain OSError, whose cause is an
+    ExceptionGroup with one error for each address that it tried.
+    """
     cause = error.__cause__
     if isinstance(cause, ExceptionGroup):
         cause = cause.exceptions[0]
--- a/src/amaranthrail/adapters/httpclient.py
+++ b/src/amaranthrail/adapters/httpclient.py
@@ -181,7 +181,7 @@
         return self._address
 
     def close_idle(self) -> None:
-        """Close the idle connections."""
+        """Close the idle connections; those in use stay open."""
         while self._idle:
             _close_transport(self._idle.pop().stream)
 
@@ -359,7 +359,7 @@
 def _has_input_or_ended(stream: trio.abc.Stream) -> bool:
     """Return whether an idle connection has ended or has unread bytes.
 
-    Always False for TLS, whose stream cannot be asked.
+    Always False for TLS, because trio.SSLStream offers no such check.
     """
     if isinstance(stream, trio.SocketStream):
         return stream.socket.is_readable()
--- a/src/amaranthrail/adapters/httpserver.py
+++ b/src/amaranthrail/adapters/httpserver.py
@@ -247,7 +247,7 @@
             await self._receive()
 
     async def read_request(self) -> HttpRequest | int | None:
-        """Return a request, the status that refuses it, or None without one."""
+        """Return a request, a refusal's status, or None where none arrives."""
         head = await self._read_head()
         if head is None or isinstance(head, int):
             return head
@@ -287,7 +287,7 @@
         return True
 
     async def _read_head(self) -> h11.Request | int | None:
-        """Return a head, the status that refuses it, or None without one."""
+        """Return a head, a refusal's status, or None where none arrives."""
         event: _ParserEvent | None = None
         timeout_ms = self._state.limits.header_timeout_ms
         with self._state.idle_timeout(reused=self._reused):
--- a/src/amaranthrail/adapters/link.py
+++ b/src/amaranthrail/adapters/link.py
@@ -45,7 +45,11 @@
     """
 
     def __init__(self, stream: trio.abc.Stream, clock: Clock) -> None:
-        """Use an open stream; frames are limited to MAX_HANDSHAKE_BYTES."""
+        """Use an open stream.
+
+        Received frames are limited to MAX_HANDSHAKE_BYTES until
+        ``allow_full_frames`` is called.
+        """
         self._stream = stream
         self._clock = clock
         self._decoder = FrameDecoder(MAX_HANDSHAKE_BYTES)
