--- a/tests/client.py
+++ b/tests/client.py
@@ -10,7 +10,7 @@
 
 
 def auth_headers(fleet: Fleet, number: int = 0) -> dict[str, str]:
-    """Return the credentials of one of the fleet's organisations."""
+    """Return the Authorization header of one of the fleet's organisations."""
     return {'Authorization': f'Bearer {fleet.token(number)}'}
 
 
