--- a/tests/test_key_table.py
+++ b/tests/test_key_table.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from hypothesis import settings
+from hypothesis import seed, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import (
     RuleBasedStateMachine,
@@ -121,6 +121,10 @@
     assert (record.state, record.intent.id) == (state, intent)
 
 
+# Without a seed, Hypothesis derives the examples from the source of the class,
+# so any rename would change which faults they find. The examples still depend
+# on the sorted names of the rules.
+@seed(2)
 class AtMostOnce(RuleBasedStateMachine):
     """Drive real key tables and a real gate with delayed and repeated messages.
 
@@ -268,8 +272,6 @@
                 assert record == self.tables[1].find(IdempotencyKey(key))
 
 
-# Hypothesis derives the examples from the source of the class and the sorted
-# names of its rules, so a rename changes which faults the examples can find.
 AtMostOnce.TestCase.settings = settings(
     derandomize=True,
     max_examples=400,
