--- a/standins/calling.py
+++ b/standins/calling.py
@@ -21,7 +21,7 @@
 
 
 @dataclass
-class Answer:
+class Response:
     """Hold an HTTP answer as an ordinary client sees it."""
 
     status: int
@@ -40,7 +40,7 @@
     body: bytes | dict[str, Any] | None = None,
     headers: dict[str, str] | None = None,
     timeout: float = 30,
-) -> Answer:
+) -> Response:
     """Call a server with the standard library's client."""
     payload = json.dumps(body).encode() if isinstance(body, dict) else body
     connection = client.HTTPConnection(
@@ -51,7 +51,7 @@
         connection.request(method, target, payload, headers or {})
         answer = connection.getresponse()
         fields = {name.lower(): text for name, text in answer.getheaders()}
-        return Answer(answer.status, fields, answer.read())
+        return Response(answer.status, fields, answer.read())
 
 
 def answers(address: str, target: str) -> bool:
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -23,7 +23,7 @@
 
 from .calling import (
     LOOPBACK,
-    Answer,
+    Response,
     answers,
     connects,
     free_ports,
@@ -144,7 +144,7 @@
         order = {'hosts': hosts}
         http_call(self._platform_address, 'POST', '/control/hosts', order)
 
-    def publish(self, manifest: dict[str, Any], *flags: str) -> Answer:
+    def publish(self, manifest: dict[str, Any], *flags: str) -> Response:
         """Publish a manifest with the command line, straight to the log."""
         path = self._folder / 'manifest.json'
         path.write_text(json.dumps(manifest))
@@ -157,7 +157,7 @@
             self._platform_address,
             *flags,
         )
-        return Answer(found.returncode, {}, found.stdout)
+        return Response(found.returncode, {}, found.stdout)
 
     def command(self, *arguments: str) -> subprocess.CompletedProcess[bytes]:
         """Run the product's command line against this fleet."""
@@ -223,7 +223,7 @@
         method: str,
         target: str,
         body: dict[str, Any] | None = None,
-    ) -> Answer:
+    ) -> Response:
         """Call the administration API of the last entry."""
         return http_call(
             self._entries[-1].admin,
--- a/standins/tour.py
+++ b/standins/tour.py
@@ -9,7 +9,7 @@
 import time
 from concurrent.futures import Future, ThreadPoolExecutor
 
-from .calling import Answer, http_call, wait_until
+from .calling import Response, http_call, wait_until
 from .fleet import Fleet, running_fleet
 from .launch import EntryProcess, FleetPlan, UpstreamProcess
 
@@ -66,7 +66,7 @@
     return fields
 
 
-def _draft(fleet: Fleet, number: int) -> Answer:
+def _draft(fleet: Fleet, number: int) -> Response:
     order = {
         'model': fleet.deployment.model,
         'messages': [
@@ -84,7 +84,7 @@
     )
 
 
-def _file(fleet: Fleet, key: str, number: int = 0) -> Answer:
+def _file(fleet: Fleet, key: str, number: int = 0) -> Response:
     return http_call(
         _entry(fleet, number).url,
         'POST',
@@ -154,7 +154,7 @@
     return key in listed and _count_runs(fleet, key) == 1
 
 
-def _outcome(filing: Future[Answer]) -> Answer:
+def _outcome(filing: Future[Response]) -> Response:
     return filing.result()
 
 
--- a/tests/client.py
+++ b/tests/client.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from standins.calling import Answer, http_call
+from standins.calling import Response, http_call
 from standins.fleet import Fleet
 from standins.launch import EntryProcess
 
@@ -19,7 +19,7 @@
     prompt: str,
     tokens: int = 5,
     **extra: object,
-) -> Answer:
+) -> Response:
     order = {
         'model': fleet.deployment.model,
         'messages': [{'role': 'user', 'content': prompt}],
@@ -44,7 +44,7 @@
     body: dict[str, object] | None = None,
     headers: dict[str, str] | None = None,
     timeout: float = 30,
-) -> Answer:
+) -> Response:
     _, method, path, _ = fleet.deployment.operations[0]
     return http_call(
         entry.url,
--- a/tests/keyedworkload.py
+++ b/tests/keyedworkload.py
@@ -10,7 +10,7 @@
 from http import client
 from urllib.parse import quote
 
-from standins.calling import Answer, wait_until
+from standins.calling import Response, wait_until
 from standins.fleet import Fleet
 from standins.launch import EntryProcess
 
@@ -80,7 +80,7 @@
     return parse_outcome(response)
 
 
-def parse_outcome(response: Answer) -> str:
+def parse_outcome(response: Response) -> str:
     if response.status == 200:
         return 'ran'
     return f'{response.headers["x-outcome"]} {response.status}'
@@ -141,7 +141,7 @@
     assert not ran_twice, f'ran twice: {ran_twice}'
 
 
-def lose_key(fleet: Fleet, key: str) -> Answer:
+def lose_key(fleet: Fleet, key: str) -> Response:
     """Send an order whose response is cut, and wait until its key is lost."""
     upstreams = fleet.of_service(fleet.deployment.plain)
     for upstream in upstreams:
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from standins.calling import Answer, answers, http_call, wait_until
+from standins.calling import Response, answers, http_call, wait_until
 from standins.fleet import Fleet, running_fleet
 from standins.launch import FleetPlan, UpstreamProcess
 
@@ -80,12 +80,12 @@
     assert _runs(victim) == before
 
 
-def _draft(fleet: Fleet, number: int) -> Answer:
+def _draft(fleet: Fleet, number: int) -> Response:
     entry = fleet.entries[number % 2]
     return draft(fleet, entry, f'prompt {number}', TOKENS)
 
 
-def _assert_whole(streams: list[Future[Answer]]) -> None:
+def _assert_whole(streams: list[Future[Response]]) -> None:
     for stream in streams:
         answer = stream.result()
         assert answer.status == 200
