--- a/standins/calling.py
+++ b/standins/calling.py
@@ -54,7 +54,7 @@
         return Response(answer.status, fields, answer.read())
 
 
-def answers(address: str, target: str) -> bool:
+def responds_ok(address: str, target: str) -> bool:
     """Tell whether a server answers a target with success."""
     try:
         return http_call(address, 'GET', target, timeout=1).status == 200
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -24,10 +24,10 @@
 from .calling import (
     LOOPBACK,
     Response,
-    answers,
     connects,
     free_ports,
     http_call,
+    responds_ok,
     wait_until,
 )
 from .child import Child
@@ -176,7 +176,7 @@
 
     def wait_ready(self) -> None:
         """Publish the manifest and wait until all serve."""
-        wait_until(lambda: answers(self._platform_address, '/hosts'))
+        wait_until(lambda: responds_ok(self._platform_address, '/hosts'))
         self.list_hosts()
         if not self._plan.publish:
             return
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from standins.calling import Response, answers, http_call, wait_until
+from standins.calling import Response, http_call, responds_ok, wait_until
 from standins.fleet import Fleet, running_fleet
 from standins.launch import FleetPlan, UpstreamProcess
 
@@ -93,7 +93,7 @@
 
 
 def _wait_not_ready(address: str) -> None:
-    wait_until(lambda: not answers(address, '/readyz'), LEAVE_S)
+    wait_until(lambda: not responds_ok(address, '/readyz'), LEAVE_S)
 
 
 def test_sidecar_ends_after_its_last_answer(small: Fleet) -> None:
