--- a/soak/world.py
+++ b/soak/world.py
@@ -15,7 +15,7 @@
 from amaranthrail.adapters.httpclient import Address, parse_address
 from amaranthrail.adapters.httpserver import HttpRequest, Reply
 from amaranthrail.exceptions import HttpError
-from standins.calling import connects
+from standins.calling import is_listening
 from standins.keyedlog import StoreFault
 from standins.platformfleet import (
     EntryProcess,
@@ -254,7 +254,7 @@
     async def _leave(self, entry: EntryProcess) -> Felt:
         async with self._locks[entry.host]:
             began_at = time.time()
-            listens = await trio.to_thread.run_sync(connects, entry.address)
+            listens = await trio.to_thread.run_sync(is_listening, entry.address)
             entry.signal(signal.SIGTERM)
             with trio.move_on_after(LEAVE_S):
                 await entry.wait()
--- a/standins/calling.py
+++ b/standins/calling.py
@@ -62,7 +62,7 @@
         return False
 
 
-def connects(address: str) -> bool:
+def is_listening(address: str) -> bool:
     """Tell whether a process listens at an address."""
     host, _, port = address.removeprefix('http://').partition(':')
     try:
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -24,9 +24,9 @@
 from .calling import (
     LOOPBACK,
     Response,
-    connects,
     free_ports,
     http_call,
+    is_listening,
     responds_ok,
     wait_until,
 )
@@ -186,7 +186,9 @@
         for entry in self._entries:
             self.wait_entry_ready(entry)
         # A sidecar takes work before its upstream listens.
-        wait_until(lambda: all(connects(one.url) for one in self._upstreams))
+        wait_until(
+            lambda: all(is_listening(one.url) for one in self._upstreams)
+        )
 
     def failed_logs(self) -> str:
         """Return the end of the log of each process that has ended badly."""
--- a/tests/test_calling.py
+++ b/tests/test_calling.py
@@ -7,9 +7,9 @@
 
 from standins.calling import (
     LOOPBACK,
-    connects,
     deal_ports,
     free_ports,
+    is_listening,
     worker_ports,
 )
 
@@ -31,7 +31,7 @@
         taken.bind((LOOPBACK, 0))
         taken.listen()
         port = taken.getsockname()[1]
-        assert connects(f'http://{LOOPBACK}:{port}')
+        assert is_listening(f'http://{LOOPBACK}:{port}')
         dealt = itertools.islice(deal_ports(range(port, port + 3)), 4)
         assert port not in dealt
-    assert not connects(f'http://{LOOPBACK}:{port}')
+    assert not is_listening(f'http://{LOOPBACK}:{port}')
