--- a/standins/calling.py
+++ b/standins/calling.py
@@ -91,7 +91,7 @@
     return _PORTS[number * size : (number + 1) * size]
 
 
-def deal_ports(ports: range) -> Iterator[int]:
+def iterate_free_ports(ports: range) -> Iterator[int]:
     """Yield free ports, each one again only after all others."""
     shuffled = random.SystemRandom().sample(ports, len(ports))
     return (port for port in itertools.cycle(shuffled) if _is_free(port))
@@ -116,4 +116,6 @@
         time.sleep(_POLL_S)
 
 
-_DEALT = deal_ports(worker_ports(os.environ.get('PYTEST_XDIST_WORKER', '')))
+_DEALT = iterate_free_ports(
+    worker_ports(os.environ.get('PYTEST_XDIST_WORKER', ''))
+)
--- a/tests/test_calling.py
+++ b/tests/test_calling.py
@@ -7,9 +7,9 @@
 
 from standins.calling import (
     LOOPBACK,
-    deal_ports,
     free_ports,
     is_listening,
+    iterate_free_ports,
     worker_ports,
 )
 
@@ -32,6 +32,6 @@
         taken.listen()
         port = taken.getsockname()[1]
         assert is_listening(f'http://{LOOPBACK}:{port}')
-        dealt = itertools.islice(deal_ports(range(port, port + 3)), 4)
+        dealt = itertools.islice(iterate_free_ports(range(port, port + 3)), 4)
         assert port not in dealt
     assert not is_listening(f'http://{LOOPBACK}:{port}')
