--- a/bench/crest.py
+++ b/bench/crest.py
@@ -14,7 +14,7 @@
     LARGE_ORGANISATIONS,
     LARGE_WEIGHT,
     organisation_names,
-    token_of,
+    organisation_token,
 )
 from standins.engine import BATCH_COST
 from standins.fleet import Fleet, running_fleet
@@ -195,7 +195,7 @@
 
 def _weights() -> dict[str, float]:
     return {
-        f'Bearer {token_of("valtrebbia", name)}': (
+        f'Bearer {organisation_token("valtrebbia", name)}': (
             LARGE_WEIGHT if index < LARGE_ORGANISATIONS else 1
         )
         for index, name in enumerate(organisation_names())
--- a/standins/deployments.py
+++ b/standins/deployments.py
@@ -62,7 +62,7 @@
     ]
 
 
-def token_of(deployment: str, organisation: str) -> str:
+def organisation_token(deployment: str, organisation: str) -> str:
     """Return the caller's token of an organisation, for local use only."""
     seed = f'local-only/{deployment}/{organisation}'.encode()
     return hashlib.sha256(seed).hexdigest()[:32]
@@ -118,7 +118,9 @@
 
 
 def _organisation(deployment: str, name: str, index: int) -> dict[str, Any]:
-    digest = hashlib.sha256(token_of(deployment, name).encode()).hexdigest()
+    digest = hashlib.sha256(
+        organisation_token(deployment, name).encode()
+    ).hexdigest()
     return {
         'name': name,
         'credentials': [f'sha256:{digest}'],
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -36,7 +36,7 @@
     Deployment,
     make_manifest,
     organisation_names,
-    token_of,
+    organisation_token,
 )
 from .launch import (
     ADMIN_TOKEN,
@@ -120,7 +120,9 @@
 
     def token(self, number: int = 0) -> str:
         """Return the caller's token of an organisation."""
-        return token_of(self._plan.deployment, organisation_names()[number])
+        return organisation_token(
+            self._plan.deployment, organisation_names()[number]
+        )
 
     def fault_platform(self, **faults: object) -> None:
         """Set faults of the platform."""
@@ -273,7 +275,10 @@
                 'pid': self._platform.pid,
             },
             'organisations': [
-                {'name': name, 'token': token_of(self._plan.deployment, name)}
+                {
+                    'name': name,
+                    'token': organisation_token(self._plan.deployment, name),
+                }
                 for name in organisation_names()
             ],
             'admin_token': ADMIN_TOKEN,
