--- a/bench/path.py
+++ b/bench/path.py
@@ -82,7 +82,7 @@
 
 def _light(fleet: Fleet) -> dict[str, float]:
     """Compare one caller through the entry with one straight at an upstream."""
-    upstream = fleet.of_service('sportello')[0]
+    upstream = fleet.upstreams_of('sportello')[0]
     straight = _time_calls(upstream.url, {})
     through = _time_calls(fleet.entries[0].url, _headers(fleet))
     return {
@@ -99,7 +99,7 @@
 def _busy(fleet: Fleet) -> dict[str, float]:
     """Return the rate that many callers get, and processor time a request."""
     entry = fleet.entries[0]
-    sidecars = [one.sidecar.pid for one in fleet.of_service('sportello')]
+    sidecars = [one.sidecar.pid for one in fleet.upstreams_of('sportello')]
     before = report.cpu_s(entry.child.pid), sum(map(report.cpu_s, sidecars))
     began = time.monotonic()
     with ThreadPoolExecutor(BUSY_CALLERS) as pool:
@@ -136,7 +136,7 @@
 def _streams(fleet: Fleet) -> dict[str, float]:
     """Return the tokens a second through one entry, and what one costs."""
     entry = fleet.entries[0].child.pid
-    sidecar = fleet.of_service(fleet.deployment.model)[0].sidecar.pid
+    sidecar = fleet.upstreams_of(fleet.deployment.model)[0].sidecar.pid
     before = report.cpu_s(entry), report.cpu_s(sidecar)
     shots = [
         draft_shot(fleet, 0.0, 'stream', 0, STREAM_TOKENS, f'prompt {number}')
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -100,7 +100,7 @@
         """Return the ranks of the group, which share one process."""
         return [one for one in self._upstreams if one.group]
 
-    def of_service(self, service: str) -> list[UpstreamProcess]:
+    def upstreams_of(self, service: str) -> list[UpstreamProcess]:
         """Return the upstreams of one service."""
         return [one for one in self._upstreams if one.service == service]
 
@@ -241,7 +241,7 @@
         """Return all that truly ran at the upstreams of a service."""
         return [
             run
-            for one in self.of_service(service)
+            for one in self.upstreams_of(service)
             for run in http_call(one.url, 'GET', '/control/runs').json()
         ]
 
--- a/standins/tour.py
+++ b/standins/tour.py
@@ -127,7 +127,7 @@
 
 def _lose_a_sidecar(fleet: Fleet) -> bool:
     key = 'tour-lost'
-    for one in fleet.of_service('sportello'):
+    for one in fleet.upstreams_of('sportello'):
         one.set_faults(delay_ms=_DELAY_MS)
     with ThreadPoolExecutor(1) as pool:
         filing = pool.submit(_file, fleet, key)
@@ -136,7 +136,7 @@
         victim.sidecar.kill()
         answer = _outcome(filing)
     victim.sidecar.restart()
-    for one in fleet.of_service('sportello'):
+    for one in fleet.upstreams_of('sportello'):
         one.set_faults(delay_ms=0)
     listed = fleet.command('lost', 'list').stdout.decode()
     _say(
@@ -161,7 +161,7 @@
 def _running_upstream(fleet: Fleet, key: str) -> UpstreamProcess:
     return next(
         one
-        for one in fleet.of_service('sportello')
+        for one in fleet.upstreams_of('sportello')
         for run in http_call(one.url, 'GET', '/control/runs').json()
         if run['key'] == key
     )
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -56,7 +56,7 @@
 
 
 def _victim(fleet: Fleet) -> UpstreamProcess:
-    return fleet.of_service(fleet.deployment.plain)[0]
+    return fleet.upstreams_of(fleet.deployment.plain)[0]
 
 
 def _nothing(_fleet: Fleet) -> None:
@@ -78,7 +78,7 @@
 
 def _relays(act: str, *arguments: object) -> Act:
     def each(fleet: Fleet) -> None:
-        for one in fleet.of_service(fleet.deployment.plain):
+        for one in fleet.upstreams_of(fleet.deployment.plain):
             getattr(one.relay, act)(*arguments)
 
     return each
--- a/tests/keyedworkload.py
+++ b/tests/keyedworkload.py
@@ -143,7 +143,7 @@
 
 def lose_key(fleet: Fleet, key: str) -> Response:
     """Send an order whose response is cut, and wait until its key is lost."""
-    upstreams = fleet.of_service(fleet.deployment.plain)
+    upstreams = fleet.upstreams_of(fleet.deployment.plain)
     for upstream in upstreams:
         upstream.set_faults(cut_after_bytes=5)
     try:
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -118,7 +118,7 @@
     restarted_entry = faulty_fleet.entries[1]
     paused_sidecars = [
         upstream.sidecar
-        for upstream in faulty_fleet.of_service('sportello')
+        for upstream in faulty_fleet.upstreams_of('sportello')
         if not _has_run(upstream, key)
     ]
     assert len(paused_sidecars) == 2
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -86,7 +86,7 @@
 
 
 def test_drain_starts_and_ends(fleet: Fleet) -> None:
-    drained = fleet.of_service('sportello')[0]
+    drained = fleet.upstreams_of('sportello')[0]
     assert fleet.command('drain', drained.name).returncode == 0
     wait_until(lambda: not _takes_work(fleet, drained.name))
     assert fleet.command('drain', drained.name, '--end').returncode == 0
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -67,7 +67,7 @@
     lag_ms: int,
 ) -> None:
     small.fault_platform(hosts_lag_ms=lag_ms)
-    victim = small.of_service('redattore')[0]
+    victim = small.upstreams_of('redattore')[0]
     with ThreadPoolExecutor(8) as pool:
         started = [pool.submit(_draft, small, number) for number in range(8)]
         wait_until(lambda: _runs(victim))
@@ -97,7 +97,7 @@
 
 
 def test_sidecar_ends_after_its_last_answer(small: Fleet) -> None:
-    victim = small.of_service('redattore')[0]
+    victim = small.upstreams_of('redattore')[0]
     with ThreadPoolExecutor(8) as pool:
         started = [pool.submit(_draft, small, number) for number in range(8)]
         wait_until(lambda: _runs(victim))
@@ -113,7 +113,7 @@
     with ThreadPoolExecutor(4) as pool:
         evens = range(0, 8, 2)
         started = [pool.submit(_draft, small, even) for even in evens]
-        models = small.of_service('redattore')
+        models = small.upstreams_of('redattore')
         wait_until(lambda: sum(map(_runs, models)) >= len(evens))
         leaving.child.send(signal.SIGTERM)
         _wait_not_ready(leaving.admin)
@@ -125,7 +125,7 @@
 
 
 def test_dead_sidecar_gets_nothing_once_the_list_says_so(small: Fleet) -> None:
-    victim = small.of_service('redattore')[0]
+    victim = small.upstreams_of('redattore')[0]
     victim.sidecar.kill()
     later = [_draft(small, number) for number in range(6)]
     assert [one.status for one in later] == [200 for _ in later]
--- a/tests/test_responses.py
+++ b/tests/test_responses.py
@@ -49,7 +49,7 @@
     """Return the upstream of each unfinished run, once for each run."""
     return [
         upstream
-        for upstream in fleet.of_service(fleet.deployment.model)
+        for upstream in fleet.upstreams_of(fleet.deployment.model)
         for run in http_call(upstream.url, 'GET', '/control/runs').json()
         if not run['finished']
     ]
@@ -102,7 +102,7 @@
             pool.submit(_stream, streaming_fleet, prompt) for prompt in prompts
         ]
         _wait_running(streaming_fleet, STREAMS)
-        killed_upstreams = streaming_fleet.of_service('redattore')
+        killed_upstreams = streaming_fleet.upstreams_of('redattore')
         for killed_upstream in killed_upstreams:
             killed_upstream.sidecar.kill()
         errors = [stream.exception() for stream in streams]
@@ -116,13 +116,13 @@
 def test_stream_cut_by_the_upstream_is_visibly_truncated(
     streaming_fleet: Fleet,
 ) -> None:
-    for upstream in streaming_fleet.of_service('redattore'):
+    for upstream in streaming_fleet.upstreams_of('redattore'):
         upstream.set_faults(cut_after_bytes=200)
     try:
         with pytest.raises(client.IncompleteRead):
             draft(streaming_fleet, streaming_fleet.entries[0], 'cut', TOKENS)
     finally:
-        for upstream in streaming_fleet.of_service('redattore'):
+        for upstream in streaming_fleet.upstreams_of('redattore'):
             upstream.set_faults(cut_after_bytes=None)
 
 
