--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -101,9 +101,9 @@
 
 
 def _log_outage(fleet: Fleet) -> None:
-    fleet.fault_platform(log='down')
+    fleet.set_platform_faults(log='down')
     time.sleep(3)
-    fleet.fault_platform(log='up')
+    fleet.set_platform_faults(log='up')
 
 
 def _manifest(fleet: Fleet) -> float:
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -124,7 +124,7 @@
             self._plan.deployment, organisation_names()[number]
         )
 
-    def fault_platform(self, **faults: object) -> None:
+    def set_platform_faults(self, **faults: object) -> None:
         """Set faults of the platform."""
         http_call(self._platform_address, 'POST', '/control/faults', faults)
 
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -69,7 +69,7 @@
 
 
 def _platform(**faults: object) -> Act:
-    return lambda fleet: fleet.fault_platform(**faults)
+    return lambda fleet: fleet.set_platform_faults(**faults)
 
 
 def _upstream(**faults: object) -> Act:
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -89,7 +89,7 @@
     key = 'before-the-outage'
     first_response = file_order(faulty_fleet, faulty_fleet.entries[0], key)
     restarted_entry = faulty_fleet.entries[1]
-    faulty_fleet.fault_platform(log='down')
+    faulty_fleet.set_platform_faults(log='down')
     restarted_entry.child.kill()
     restarted_entry.child.restart()
     try:
@@ -99,7 +99,7 @@
             faulty_fleet, restarted_entry, 'in-the-outage'
         )
     finally:
-        faulty_fleet.fault_platform(log='up')
+        faulty_fleet.set_platform_faults(log='up')
     assert (retried.status, retried.body) == (200, first_response.body)
     assert (new_key_response.status, new_key_response.headers['x-outcome']) == (
         503,
@@ -122,7 +122,7 @@
         if not _has_run(upstream, key)
     ]
     assert len(paused_sidecars) == 2
-    faulty_fleet.fault_platform(log='down')
+    faulty_fleet.set_platform_faults(log='down')
     restarted_entry.child.kill()
     restarted_entry.child.restart()
     try:
@@ -134,21 +134,21 @@
     finally:
         for sidecar in paused_sidecars:
             sidecar.resume()
-        faulty_fleet.fault_platform(log='up')
+        faulty_fleet.set_platform_faults(log='up')
     assert (retried.status, retried.body) == (200, first_response.body)
 
 
 def test_lost_list_outlives_the_log_retention(faulty_fleet: Fleet) -> None:
     key = 'lost-for-long'
     lose_key(faulty_fleet, key)
-    faulty_fleet.fault_platform(retention_ms=RETENTION_MS)
+    faulty_fleet.set_platform_faults(retention_ms=RETENTION_MS)
     try:
         wait_until(lambda: _only_lost_keys_remain(faulty_fleet))
         time.sleep(2 * RETENTION_MS / 1000)
         assert key in lost_keys(faulty_fleet)
         retried = file_order(faulty_fleet, faulty_fleet.entries[1], key)
     finally:
-        faulty_fleet.fault_platform(retention_ms=DAY_MS)
+        faulty_fleet.set_platform_faults(retention_ms=DAY_MS)
     assert (retried.status, retried.json()['reason']) == (409, 'key-lost')
 
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -76,11 +76,11 @@
     tmp_path: Path,
 ) -> None:
     file = _write_manifest(tmp_path, fleet.manifest())
-    fleet.fault_platform(log='down')
+    fleet.set_platform_faults(log='down')
     try:
         completed = fleet.command('manifest', 'publish', file)
     finally:
-        fleet.fault_platform(log='up')
+        fleet.set_platform_faults(log='up')
     assert completed.returncode == 4
     assert 'manifest show' in completed.stdout.decode()
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -66,7 +66,7 @@
     word: Callable[[Fleet, UpstreamProcess], None],
     lag_ms: int,
 ) -> None:
-    small.fault_platform(hosts_lag_ms=lag_ms)
+    small.set_platform_faults(hosts_lag_ms=lag_ms)
     victim = small.upstreams_of('redattore')[0]
     with ThreadPoolExecutor(8) as pool:
         started = [pool.submit(_draft, small, number) for number in range(8)]
--- a/tests/test_manifest_spread.py
+++ b/tests/test_manifest_spread.py
@@ -74,11 +74,11 @@
     relayed_fleet: Fleet,
 ) -> None:
     base = _agreed_version(relayed_fleet)
-    relayed_fleet.fault_platform(log='lose_answers')
+    relayed_fleet.set_platform_faults(log='lose_answers')
     try:
         published = _publish(relayed_fleet, 0.11, base)
     finally:
-        relayed_fleet.fault_platform(log='up')
+        relayed_fleet.set_platform_faults(log='up')
     assert published['state'] == 'accepted'
     wait_until(
         lambda: _versions(relayed_fleet) == {published['version']}, IN_FORCE_S
@@ -113,7 +113,7 @@
 
 def test_processes_started_in_an_outage_learn_it(relayed_fleet: Fleet) -> None:
     version = _agreed_version(relayed_fleet)
-    relayed_fleet.fault_platform(log='down')
+    relayed_fleet.set_platform_faults(log='down')
     try:
         for child in (
             relayed_fleet.entries[0].child,
@@ -126,7 +126,7 @@
             relayed_fleet, relayed_fleet.entries[0], 'in an outage'
         )
     finally:
-        relayed_fleet.fault_platform(log='up')
+        relayed_fleet.set_platform_faults(log='up')
     assert response.status == 200
 
 
@@ -143,7 +143,7 @@
 ) -> None:
     version = _agreed_version(relayed_fleet)
     _, last_before = _offset_range(relayed_fleet)
-    relayed_fleet.fault_platform(retention_ms=RETENTION_MS)
+    relayed_fleet.set_platform_faults(retention_ms=RETENTION_MS)
     try:
         # The log has dropped all earlier records, so only a renewal has the
         # manifest.
@@ -151,7 +151,7 @@
         time.sleep(2 * RETENTION_MS / 1000)
     finally:
         # The restarts below may take longer than the short retention.
-        relayed_fleet.fault_platform(retention_ms=86_400_000)
+        relayed_fleet.set_platform_faults(retention_ms=86_400_000)
     for entry in relayed_fleet.entries:
         entry.child.kill()
     for upstream in relayed_fleet.upstreams:
--- a/tests/test_same_key.py
+++ b/tests/test_same_key.py
@@ -46,7 +46,7 @@
     fleet: Fleet,
 ) -> None:
     entry = fleet.entries[0]
-    fleet.fault_platform(log='slow')
+    fleet.set_platform_faults(log='slow')
     try:
         with ThreadPoolExecutor(2) as pool:
             early_call = pool.submit(
@@ -69,7 +69,7 @@
                 late_call.result(),
             )
     finally:
-        fleet.fault_platform(log='up')
+        fleet.set_platform_faults(log='up')
     assert first_response.headers['x-outcome'] in {'not-run', 'unknown'}
     assert second_response.status == 200, second_response.body
     run_counts = Counter(run['key'] for run in fleet.runs('sportello'))
