--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -128,7 +128,7 @@
         """Set faults of the platform."""
         http_call(self._platform_address, 'POST', '/control/faults', faults)
 
-    def list_hosts(self, leaving: tuple[str, ...] = ()) -> None:
+    def set_hosts(self, draining: tuple[str, ...] = ()) -> None:
         """Tell the platform which hosts there are."""
         hosts = [
             {
@@ -137,7 +137,7 @@
                 'domain': one.domain,
                 'host': one.listed_address.split(':')[0],
                 'port': int(one.listed_address.split(':')[1]),
-                'state': 'leaving' if one.name in leaving else 'live',
+                'state': 'leaving' if one.name in draining else 'live',
                 'group': one.group,
                 'rank': one.rank,
             }
@@ -179,7 +179,7 @@
     def wait_ready(self) -> None:
         """Publish the manifest and wait until all serve."""
         wait_until(lambda: responds_ok(self._platform_address, '/hosts'))
-        self.list_hosts()
+        self.set_hosts()
         if not self._plan.publish:
             return
         published = self.publish(self.manifest())
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -45,7 +45,7 @@
 
 
 def _by_host_list(fleet: Fleet, victim: UpstreamProcess) -> None:
-    fleet.list_hosts(leaving=(victim.name,))
+    fleet.set_hosts(draining=(victim.name,))
 
 
 LAG_MS = 10_000
