--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -150,7 +150,7 @@
         """Publish a manifest with the command line, straight to the log."""
         path = self._folder / 'manifest.json'
         path.write_text(json.dumps(manifest))
-        found = self.command(
+        found = self.run_command(
             'manifest',
             'publish',
             str(path),
@@ -161,7 +161,9 @@
         )
         return Response(found.returncode, {}, found.stdout)
 
-    def command(self, *arguments: str) -> subprocess.CompletedProcess[bytes]:
+    def run_command(
+        self, *arguments: str
+    ) -> subprocess.CompletedProcess[bytes]:
         """Run the product's command line against this fleet."""
         admins = ','.join(entry.admin for entry in self._entries)
         environment = {
--- a/standins/tour.py
+++ b/standins/tour.py
@@ -138,13 +138,13 @@
     victim.sidecar.restart()
     for one in fleet.upstreams_of('sportello'):
         one.set_faults(delay_ms=0)
-    listed = fleet.command('lost', 'list').stdout.decode()
+    listed = fleet.run_command('lost', 'list').stdout.decode()
     _say(
         f'The sidecar of {victim.name} was killed during a filing: the caller '
         f'was told {answer.status}, outcome {answer.headers["x-outcome"]}. '
         f'The lost list:\n{listed}',
     )
-    resolved = fleet.command(
+    resolved = fleet.run_command(
         'lost',
         'resolve',
         f'organisation-01/{key}',
@@ -197,7 +197,7 @@
 
 
 def _show_timeline(fleet: Fleet) -> None:
-    shown = fleet.command('timeline', '--last', _TIMELINE_EVENTS)
+    shown = fleet.run_command('timeline', '--last', _TIMELINE_EVENTS)
     _say(f'The latest events of all processes:\n{_text(shown.stdout)}')
 
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -19,7 +19,7 @@
 
 
 def _version_in_force(fleet: Fleet) -> int:
-    completed = fleet.command('manifest', 'show')
+    completed = fleet.run_command('manifest', 'show')
     return int(completed.stdout.split()[1])
 
 
@@ -30,11 +30,13 @@
     base = _version_in_force(fleet)
     file = _write_manifest(tmp_path, fleet.manifest())
     flags = ('--base', str(base), '--json')
-    accepted = fleet.command('manifest', 'publish', file, *flags)
+    accepted = fleet.run_command('manifest', 'publish', file, *flags)
     assert accepted.returncode == 0
     version = json.loads(accepted.stdout)['version']
     assert version > base
-    refused = fleet.command('manifest', 'publish', file, '--base', str(base))
+    refused = fleet.run_command(
+        'manifest', 'publish', file, '--base', str(base)
+    )
     assert refused.returncode == 3
     assert f'version {version} is in force' in refused.stdout.decode()
 
@@ -44,7 +46,7 @@
 ) -> None:
     manifest = fleet.manifest()
     manifest['services'][0]['slots'] = 'many'
-    completed = fleet.command(
+    completed = fleet.run_command(
         'manifest', 'check', _write_manifest(tmp_path, manifest)
     )
     assert completed.returncode == 3
@@ -52,19 +54,19 @@
 
 
 def test_check_of_a_missing_file(fleet: Fleet) -> None:
-    completed = fleet.command('manifest', 'check', 'nowhere.json')
+    completed = fleet.run_command('manifest', 'check', 'nowhere.json')
     assert completed.returncode == 2
     assert 'nowhere.json' in completed.stderr.decode()
 
 
 def test_diff_shows_changed_lines(fleet: Fleet, tmp_path: Path) -> None:
     manifest = fleet.manifest()
-    same = fleet.command(
+    same = fleet.run_command(
         'manifest', 'diff', _write_manifest(tmp_path, manifest)
     )
     assert (same.returncode, same.stdout) == (0, b'')
     manifest['limits'] = {'retry_share': 0.25}
-    completed = fleet.command(
+    completed = fleet.run_command(
         'manifest', 'diff', _write_manifest(tmp_path, manifest)
     )
     assert completed.returncode == 1
@@ -78,7 +80,7 @@
     file = _write_manifest(tmp_path, fleet.manifest())
     fleet.set_platform_faults(log='down')
     try:
-        completed = fleet.command('manifest', 'publish', file)
+        completed = fleet.run_command('manifest', 'publish', file)
     finally:
         fleet.set_platform_faults(log='up')
     assert completed.returncode == 4
@@ -87,9 +89,9 @@
 
 def test_drain_starts_and_ends(fleet: Fleet) -> None:
     drained = fleet.upstreams_of('sportello')[0]
-    assert fleet.command('drain', drained.name).returncode == 0
+    assert fleet.run_command('drain', drained.name).returncode == 0
     wait_until(lambda: not _takes_work(fleet, drained.name))
-    assert fleet.command('drain', drained.name, '--end').returncode == 0
+    assert fleet.run_command('drain', drained.name, '--end').returncode == 0
     wait_until(lambda: _takes_work(fleet, drained.name))
 
 
@@ -103,7 +105,7 @@
 
 
 def test_status_as_json(fleet: Fleet) -> None:
-    completed = fleet.command('status', '--json')
+    completed = fleet.run_command('status', '--json')
     assert completed.returncode == 0
     assert [entry['ready'] for entry in json.loads(completed.stdout)] == [
         True,
@@ -112,7 +114,7 @@
 
 
 def test_timeline_lists_causes_before_effects(fleet: Fleet) -> None:
-    completed = fleet.command('timeline', '--json', '--last', '10000')
+    completed = fleet.run_command('timeline', '--json', '--last', '10000')
     events = json.loads(completed.stdout)
     started = {
         event['subject'] for event in events if event['name'] == 'run-started'
@@ -132,6 +134,6 @@
 def test_failure_is_reported_in_one_line(
     fleet: Fleet, command: list[str]
 ) -> None:
-    completed = fleet.command(*command)
+    completed = fleet.run_command(*command)
     assert completed.returncode == 1
     assert completed.stderr.count(b'\n') == 1
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -41,7 +41,7 @@
 
 
 def _by_operator(fleet: Fleet, victim: UpstreamProcess) -> None:
-    assert fleet.command('drain', victim.name).returncode == 0
+    assert fleet.run_command('drain', victim.name).returncode == 0
 
 
 def _by_host_list(fleet: Fleet, victim: UpstreamProcess) -> None:
