--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -92,7 +92,7 @@
 def _silence(fleet: Fleet) -> None:
     for one in fleet.upstreams:
         if one.relay is not None:
-            one.relay.silence()
+            one.relay.blackhole()
 
 
 def _restart_entry(fleet: Fleet) -> None:
--- a/soak/world.py
+++ b/soak/world.py
@@ -311,7 +311,7 @@
         if effect == 'reset':
             relay.cut()
         elif effect == 'silenced':
-            relay.silence()
+            relay.blackhole()
         elif effect == 'deaf':
             relay.deafen()
         else:
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -34,7 +34,7 @@
                 daemon=True,
             ).start()
 
-    def silence(self) -> None:
+    def blackhole(self) -> None:
         """Swallow all that comes from now on; both ends stay open."""
         self._silent = True
 
@@ -94,10 +94,10 @@
         """Return how many connections have been relayed."""
         return len(self._pairs)
 
-    def silence(self) -> None:
+    def blackhole(self) -> None:
         """Let the open connections go silent for good; new ones work."""
         for pair in self._pairs:
-            pair.silence()
+            pair.blackhole()
 
     def deafen(self) -> None:
         """Let nothing come back on the open connections; new ones work."""
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -128,7 +128,9 @@
         _somebody_waited,
     ),
     Fault('connections cut', _relays('cut'), _nothing, _a_peer_was_lost),
-    Fault('connections silent', _relays('silence'), _nothing, _a_peer_was_lost),
+    Fault(
+        'connections silent', _relays('blackhole'), _nothing, _a_peer_was_lost
+    ),
     Fault(
         'messages late',
         _relays('delay', LATE_MS),
--- a/tests/test_responses.py
+++ b/tests/test_responses.py
@@ -73,7 +73,7 @@
     ]
 
 
-@pytest.mark.parametrize('relay_fault', ['cut', 'silence'])
+@pytest.mark.parametrize('relay_fault', ['cut', 'blackhole'])
 def test_stream_resumes_at_the_last_received_byte(
     streaming_fleet: Fleet, relay_fault: str
 ) -> None:
