--- a/soak/callers.py
+++ b/soak/callers.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from http import client
 
-from standins.replica import EVENTS
+from standins.replica import STREAM_EVENTS
 
 #: Time that a caller gives a call, and its socket beyond that, in seconds.
 PATIENCE_S = 3.0
@@ -124,7 +124,7 @@
     if kind is Kind.STREAM:
         return b''.join(
             f'id: {number}\ndata: {number}\n\n'.encode()
-            for number in range(1, EVENTS + 1)
+            for number in range(1, STREAM_EVENTS + 1)
         )
     name = signature.removeprefix('signed-')
     return f'{name} did /{kind.value}/{attempt}'.encode()
--- a/standins/replica.py
+++ b/standins/replica.py
@@ -15,7 +15,7 @@
 _HTTP_MISDIRECTED = 421
 _HTTP_FAILED = 500
 _HTTP_UNAVAILABLE = 503
-EVENTS = 6
+STREAM_EVENTS = 6
 
 
 class Behaviour(Enum):
@@ -94,7 +94,7 @@
         first = int(request.header('last-event-id') or '0') + 1
         kind = ('content-type', 'text/event-stream')
         await reply.start(_HTTP_OK, (kind, *self._headers(request)))
-        for number in range(first, EVENTS + 1):
+        for number in range(first, STREAM_EVENTS + 1):
             cuts = self.behaviour in {
                 Behaviour.CUTTING,
                 Behaviour.CUTTING_IN_EVENT,
--- a/tests/test_direct_path.py
+++ b/tests/test_direct_path.py
@@ -12,7 +12,7 @@
 from amaranthrail.policy.shutdown import STREAM_INTAKE_MS
 from standins.keyedlog import KeyedLog, StoreFault
 from standins.platformfleet import listen
-from standins.replica import EVENTS, Behaviour
+from standins.replica import STREAM_EVENTS, Behaviour
 
 from .platformbench import PlatformBench, run_on_platform, wait_until
 from .platformbuild import configuration, route
@@ -20,7 +20,7 @@
 READ_ROUTE = route('read', 'idempotent', 'plain')
 COMPLETE_STREAM = b''.join(
     f'id: {number}\ndata: {number}\n\n'.encode()
-    for number in range(1, EVENTS + 1)
+    for number in range(1, STREAM_EVENTS + 1)
 )
 #: Faults in responses to executed calls; no caller may get such a response.
 UNUSABLE_RESPONSES = (
