--- a/soak/world.py
+++ b/soak/world.py
@@ -288,7 +288,7 @@
         replica = host.replica
         behaviour = _BEHAVIOURS.get(step.fault)
         if behaviour is not None:
-            calls = len(replica.ran) + replica.refused
+            calls = len(replica.executed) + replica.refused
             replica.behaviour = behaviour
             # Nobody calls while all entries start again.
             await self._wait_felt(
@@ -352,7 +352,7 @@
         """Tell whether a replica got calls, unless it has gone meanwhile."""
         if host.replica is not replica:
             return True
-        return len(replica.ran) + replica.refused > calls
+        return len(replica.executed) + replica.refused > calls
 
     async def _wait_felt(self, step: Step, felt: Felt) -> None:
         await trio.sleep(step.lasts_s)
--- a/standins/replica.py
+++ b/standins/replica.py
@@ -39,7 +39,7 @@
 
     name: str
     behaviour: Behaviour = Behaviour.SOUND
-    ran: list[HttpRequest] = field(default_factory=list)
+    executed: list[HttpRequest] = field(default_factory=list)
     refused: int = 0
     cancelled: int = 0
     pause_s: float = 0
@@ -55,7 +55,7 @@
             self.refused += 1
             await reply.whole(_HTTP_UNAVAILABLE, (('not-executed', '1'),), b'')
             return
-        self.ran.append(request)
+        self.executed.append(request)
         if self.note_run is not None:
             self.note_run(self.name, request)
         try:
--- a/tests/test_direct_path.py
+++ b/tests/test_direct_path.py
@@ -68,7 +68,7 @@
         entry = await bench.start_entry()
         await entry.until_ready()
         assert (await entry.call(path, **headers)).status == status
-        assert not replica.ran
+        assert not replica.executed
 
     run_on_platform(scenario)
 
@@ -89,7 +89,10 @@
         response = await entry.call('/book/1', 'POST')
         # Not 503, which would state that the call has not run.
         assert response.status in {502, 504}
-        assert sum(len(replica.ran) for replica in bench.replicas.values()) == 1
+        assert (
+            sum(len(replica.executed) for replica in bench.replicas.values())
+            == 1
+        )
 
     run_on_platform(scenario)
 
@@ -157,7 +160,7 @@
         response = await entry.call('/stream/1', 'POST')
         assert response.body == COMPLETE_STREAM
         assert response.header('replica-signature') == 'signed-e1'
-        assert good.ran[0].header('last-event-id') == '2'
+        assert good.executed[0].header('last-event-id') == '2'
 
     run_on_platform(scenario)
 
@@ -212,7 +215,7 @@
         assert (await entry.call('/read/1')).status == 503
         assert (await entry.call('/read/1')).status == 503
         assert replica.refused == 1
-        assert not replica.ran
+        assert not replica.executed
 
     run_on_platform(scenario)
 
@@ -316,7 +319,7 @@
         async with trio.open_nursery() as nursery:
 
             async def stop() -> None:
-                await wait_until(lambda: bool(replica.ran))
+                await wait_until(lambda: bool(replica.executed))
                 entry.entry.stop()
 
             nursery.start_soon(stop)
@@ -349,13 +352,13 @@
         call_long = partial(entry.call, deadline_remaining_ms='8000')
         async with trio.open_nursery() as nursery:
             nursery.start_soon(call_long, '/stream/1', 'POST')
-            await wait_until(lambda: bool(slow.ran))
+            await wait_until(lambda: bool(slow.executed))
             entry.entry.stop()
             await trio.sleep(STREAM_INTAKE_MS / 1000 + 0.1)
             response = await entry.call('/read/1')
-            assert (response.status, len(plain.ran)) == (200, 1)
+            assert (response.status, len(plain.executed)) == (200, 1)
             refused = await call_long('/stream/2', 'POST')
-        assert (refused.status, len(slow.ran)) == (503, 1)
+        assert (refused.status, len(slow.executed)) == (503, 1)
         assert refused.header('retry-after') == '0.000'
 
     run_on_platform(scenario)
@@ -368,7 +371,7 @@
         await entry.until_ready()
         response = await entry.call('/read/1', x_note='caf\xe9')
         assert response.status == 200
-        assert replica.ran[0].header('x-note') == 'caf\xe9'
+        assert replica.executed[0].header('x-note') == 'caf\xe9'
 
     run_on_platform(scenario)
 
@@ -402,7 +405,7 @@
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(call_first)
-            await wait_until(lambda: bool(stalled.ran))
+            await wait_until(lambda: bool(stalled.executed))
             healthy = await bench.add_replica('e2', 'engine')
             healthy.pause_s = 0.05
             await wait_until(
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -44,7 +44,7 @@
         async with trio.open_nursery() as nursery:
 
             async def stop() -> None:
-                await wait_until(lambda: bool(fleet.replicas['e1'].ran))
+                await wait_until(lambda: bool(fleet.replicas['e1'].executed))
                 entry.signal(signal.SIGTERM)
 
             nursery.start_soon(stop)
