--- a/soak/world.py
+++ b/soak/world.py
@@ -295,7 +295,7 @@
                 step,
                 lambda: self._is_met(host, replica, calls),
             )
-            replica.behaviour = Behaviour.SOUND
+            replica.behaviour = Behaviour.HEALTHY
             return lambda: self._is_met(host, replica, calls)
         if step.fault is Fault.REPLICA_LEAVES:
             return await self._drain(step, host)
--- a/standins/replica.py
+++ b/standins/replica.py
@@ -21,7 +21,7 @@
 class Behaviour(Enum):
     """Choose what a replica does with a call."""
 
-    SOUND = 'sound'
+    HEALTHY = 'sound'
     SHEDDING = 'shedding'
     FAILING = 'failing'
     CUTTING = 'cutting'
@@ -38,7 +38,7 @@
     """Run calls, note them, and answer as it is told to."""
 
     name: str
-    behaviour: Behaviour = Behaviour.SOUND
+    behaviour: Behaviour = Behaviour.HEALTHY
     executed: list[HttpRequest] = field(default_factory=list)
     refused: int = 0
     cancelled: int = 0
