--- a/soak/world.py
+++ b/soak/world.py
@@ -61,8 +61,8 @@
     {
         Fault.REPLICA_SHEDDING: Behaviour.SHEDDING,
         Fault.REPLICA_FAILING: Behaviour.FAILING,
-        Fault.REPLICA_CUTTING: Behaviour.CUTTING,
-        Fault.REPLICA_CUTTING_IN_EVENT: Behaviour.CUTTING_IN_EVENT,
+        Fault.REPLICA_CUTTING: Behaviour.TRUNCATING,
+        Fault.REPLICA_CUTTING_IN_EVENT: Behaviour.TRUNCATING_IN_EVENT,
         Fault.REPLICA_MUTE: Behaviour.MUTE,
         Fault.REPLICA_CROSSED: Behaviour.CROSSED,
         Fault.REPLICA_UNSIGNED: Behaviour.UNSIGNED,
--- a/standins/replica.py
+++ b/standins/replica.py
@@ -24,8 +24,8 @@
     HEALTHY = 'sound'
     SHEDDING = 'shedding'
     FAILING = 'failing'
-    CUTTING = 'cutting'
-    CUTTING_IN_EVENT = 'cutting-in-event'
+    TRUNCATING = 'cutting'
+    TRUNCATING_IN_EVENT = 'cutting-in-event'
     MUTE = 'mute'
     STOPPING = 'stopping'
     CROSSED = 'crossed'
@@ -83,7 +83,7 @@
             await reply.whole(_HTTP_FAILED, self._headers(request), b'failed')
         elif request.path.startswith('/stream/'):
             await self._stream(request, reply)
-        elif self.behaviour is Behaviour.CUTTING:
+        elif self.behaviour is Behaviour.TRUNCATING:
             await reply.start(_HTTP_OK, self._headers(request))
             await reply.part(b'half of an ans')
         else:
@@ -96,11 +96,11 @@
         await reply.start(_HTTP_OK, (kind, *self._headers(request)))
         for number in range(first, STREAM_EVENTS + 1):
             cuts = self.behaviour in {
-                Behaviour.CUTTING,
-                Behaviour.CUTTING_IN_EVENT,
+                Behaviour.TRUNCATING,
+                Behaviour.TRUNCATING_IN_EVENT,
             }
             if cuts and number == first + 2:
-                if self.behaviour is Behaviour.CUTTING_IN_EVENT:
+                if self.behaviour is Behaviour.TRUNCATING_IN_EVENT:
                     await reply.part(f'id: {number}\ndata: of it o'.encode())
                 return
             if self.behaviour is Behaviour.STOPPING and number == first + 2:
--- a/tests/test_direct_path.py
+++ b/tests/test_direct_path.py
@@ -24,7 +24,7 @@
 )
 #: Faults in responses to executed calls; no caller may get such a response.
 UNUSABLE_RESPONSES = (
-    Behaviour.CUTTING,
+    Behaviour.TRUNCATING,
     Behaviour.CROSSED,
     Behaviour.UNSIGNED,
     Behaviour.ENCODED,
@@ -147,7 +147,7 @@
 
 @pytest.mark.parametrize(
     'behaviour',
-    [Behaviour.CUTTING, Behaviour.CUTTING_IN_EVENT],
+    [Behaviour.TRUNCATING, Behaviour.TRUNCATING_IN_EVENT],
 )
 def test_a_cut_stream_resumes_at_another_replica(behaviour: Behaviour) -> None:
     async def scenario(bench: PlatformBench) -> None:
@@ -168,7 +168,7 @@
 def test_a_stream_that_cannot_resume_ends_with_an_error() -> None:
     async def scenario(bench: PlatformBench) -> None:
         bad = await bench.add_replica('e1', 'engine')
-        bad.behaviour = Behaviour.CUTTING
+        bad.behaviour = Behaviour.TRUNCATING
         entry = await bench.start_entry()
         await entry.until_ready()
         with pytest.raises(HttpError):
