--- a/soak/world.py
+++ b/soak/world.py
@@ -63,7 +63,7 @@
         Fault.REPLICA_FAILING: Behaviour.FAILING,
         Fault.REPLICA_CUTTING: Behaviour.TRUNCATING,
         Fault.REPLICA_CUTTING_IN_EVENT: Behaviour.TRUNCATING_IN_EVENT,
-        Fault.REPLICA_MUTE: Behaviour.MUTE,
+        Fault.REPLICA_MUTE: Behaviour.UNRESPONSIVE,
         Fault.REPLICA_CROSSED: Behaviour.CROSSED,
         Fault.REPLICA_UNSIGNED: Behaviour.UNSIGNED,
         Fault.REPLICA_ENCODED: Behaviour.ENCODED,
--- a/standins/replica.py
+++ b/standins/replica.py
@@ -26,7 +26,7 @@
     FAILING = 'failing'
     TRUNCATING = 'cutting'
     TRUNCATING_IN_EVENT = 'cutting-in-event'
-    MUTE = 'mute'
+    UNRESPONSIVE = 'mute'
     STOPPING = 'stopping'
     CROSSED = 'crossed'
     UNSIGNED = 'unsigned'
@@ -76,7 +76,7 @@
         return tuple(headers)
 
     async def _run(self, request: HttpRequest, reply: Reply) -> None:
-        if self.behaviour is Behaviour.MUTE:
+        if self.behaviour is Behaviour.UNRESPONSIVE:
             await trio.sleep_forever()
         await trio.sleep(self.pause_s)
         if self.behaviour is Behaviour.FAILING:
--- a/tests/test_direct_path.py
+++ b/tests/test_direct_path.py
@@ -133,7 +133,7 @@
 def test_a_call_without_response_is_refused_at_its_deadline() -> None:
     async def scenario(bench: PlatformBench) -> None:
         replica = await bench.add_replica('p1')
-        replica.behaviour = Behaviour.MUTE
+        replica.behaviour = Behaviour.UNRESPONSIVE
         entry = await bench.start_entry()
         await entry.until_ready()
         response = await entry.call(
@@ -392,7 +392,7 @@
         )
         bench.configure(2, routes=[fast_stream])
         stalled = await bench.add_replica('e1', 'engine')
-        stalled.behaviour = Behaviour.MUTE
+        stalled.behaviour = Behaviour.UNRESPONSIVE
         if silent_from != 'begin':
             stalled.behaviour = Behaviour.STOPPING
         entry = await bench.start_entry()
