--- a/standins/replica.py
+++ b/standins/replica.py
@@ -27,7 +27,7 @@
     TRUNCATING = 'cutting'
     TRUNCATING_IN_EVENT = 'cutting-in-event'
     UNRESPONSIVE = 'mute'
-    STOPPING = 'stopping'
+    STALLING = 'stopping'
     CROSSED = 'crossed'
     UNSIGNED = 'unsigned'
     ENCODED = 'encoded'
@@ -103,7 +103,7 @@
                 if self.behaviour is Behaviour.TRUNCATING_IN_EVENT:
                     await reply.part(f'id: {number}\ndata: of it o'.encode())
                 return
-            if self.behaviour is Behaviour.STOPPING and number == first + 2:
+            if self.behaviour is Behaviour.STALLING and number == first + 2:
                 await trio.sleep_forever()
             await reply.part(f'id: {number}\ndata: {number}\n\n'.encode())
             await trio.sleep(self.pause_s)
--- a/tests/test_direct_path.py
+++ b/tests/test_direct_path.py
@@ -394,7 +394,7 @@
         stalled = await bench.add_replica('e1', 'engine')
         stalled.behaviour = Behaviour.UNRESPONSIVE
         if silent_from != 'begin':
-            stalled.behaviour = Behaviour.STOPPING
+            stalled.behaviour = Behaviour.STALLING
         entry = await bench.start_entry()
         await entry.until_ready()
         call = partial(entry.call, deadline_remaining_ms='8000')
