--- a/soak/world.py
+++ b/soak/world.py
@@ -64,7 +64,7 @@
         Fault.REPLICA_CUTTING: Behaviour.TRUNCATING,
         Fault.REPLICA_CUTTING_IN_EVENT: Behaviour.TRUNCATING_IN_EVENT,
         Fault.REPLICA_MUTE: Behaviour.UNRESPONSIVE,
-        Fault.REPLICA_CROSSED: Behaviour.CROSSED,
+        Fault.REPLICA_CROSSED: Behaviour.WRONG_ATTEMPT_ID,
         Fault.REPLICA_UNSIGNED: Behaviour.UNSIGNED,
         Fault.REPLICA_ENCODED: Behaviour.ENCODED,
     }
--- a/standins/replica.py
+++ b/standins/replica.py
@@ -28,7 +28,7 @@
     TRUNCATING_IN_EVENT = 'cutting-in-event'
     UNRESPONSIVE = 'mute'
     STALLING = 'stopping'
-    CROSSED = 'crossed'
+    WRONG_ATTEMPT_ID = 'crossed'
     UNSIGNED = 'unsigned'
     ENCODED = 'encoded'
 
@@ -66,7 +66,7 @@
 
     def _headers(self, request: HttpRequest) -> tuple[tuple[str, str], ...]:
         attempt = request.header('attempt-id') or ''
-        if self.behaviour is Behaviour.CROSSED:
+        if self.behaviour is Behaviour.WRONG_ATTEMPT_ID:
             attempt = 'of-another'
         headers = [('attempt-id', attempt), ('replica-load', '1,0,6')]
         if self.behaviour is not Behaviour.UNSIGNED:
--- a/tests/test_direct_path.py
+++ b/tests/test_direct_path.py
@@ -25,7 +25,7 @@
 #: Faults in responses to executed calls; no caller may get such a response.
 UNUSABLE_RESPONSES = (
     Behaviour.TRUNCATING,
-    Behaviour.CROSSED,
+    Behaviour.WRONG_ATTEMPT_ID,
     Behaviour.UNSIGNED,
     Behaviour.ENCODED,
 )
