--- a/soak/world.py
+++ b/soak/world.py
@@ -279,7 +279,7 @@
             return lambda: log.calls > calls
         if step.fault is Fault.STORE_FORGETS:
             topic = log.topic('keyed.servers')
-            topic.forget_history()
+            topic.compact()
             return lambda: not topic.records
         await self._disturb_path(step, self._store_relay)
         return lambda: connections > 0
--- a/standins/keyedlog.py
+++ b/standins/keyedlog.py
@@ -53,7 +53,7 @@
         self.changed.set()
         self.changed = trio.Event()
 
-    def forget_history(self) -> None:
+    def compact(self) -> None:
         """Drop all records but the newest of each key."""
         self.first = self.end
         self.records.clear()
--- a/tests/test_direct_path.py
+++ b/tests/test_direct_path.py
@@ -246,7 +246,7 @@
         await entry.until_ready()
         bench.log.fault = StoreFault.REFUSING
         bench.configure(9)
-        bench.log.topic('keyed.op').forget_history()
+        bench.log.topic('keyed.op').compact()
         bench.log.fault = StoreFault.NONE
         await wait_until(lambda: entry.entry.cluster_state.version == 9)
 
