--- a/soak/world.py
+++ b/soak/world.py
@@ -20,8 +20,8 @@
 from standins.platformfleet import (
     EntryProcess,
     PlatformFleet,
-    listen,
     make_configuration,
+    start_server,
 )
 from standins.relay import Relay
 from standins.replica import Behaviour, Replica
@@ -158,7 +158,7 @@
         async def handle(request: HttpRequest, reply: Reply) -> None:
             await host.replica.handle(request, reply)
 
-        address = await listen(self._nursery, handle)
+        address = await start_server(self._nursery, handle)
         host = Host(service, replica, Relay(str(address)))
         self._hosts.append(host)
         self._announce(host)
--- a/standins/platformfleet.py
+++ b/standins/platformfleet.py
@@ -82,7 +82,7 @@
     return json.dumps(content).encode()
 
 
-async def listen(nursery: trio.Nursery, handler: Handler) -> Address:
+async def start_server(nursery: trio.Nursery, handler: Handler) -> Address:
     """Serve HTTP on a free port and return its address."""
     state = ServerState(lambda: ServerLimits(_MAX_BODY_BYTES))
 
@@ -181,13 +181,13 @@
 
     async def start(self) -> None:
         """Start the store and write the first configuration."""
-        self.store_address = await listen(self._nursery, self.log.handle)
+        self.store_address = await start_server(self._nursery, self.log.handle)
         self.log.topic('keyed.op').put('config', make_configuration(1))
 
     async def add_replica(self, name: str, service: str) -> Replica:
         """Start a replica and write its record."""
         replica = Replica(name)
-        address = await listen(self._nursery, replica.handle)
+        address = await start_server(self._nursery, replica.handle)
         self.replicas[name] = replica
         self.announce(name, service, address=str(address))
         return replica
--- a/tests/platformbench.py
+++ b/tests/platformbench.py
@@ -17,7 +17,7 @@
 from amaranthrail.platform.settings import parse_settings
 from amaranthrail.platform.store import PlatformStore
 from standins.keyedlog import KeyedLog
-from standins.platformfleet import listen
+from standins.platformfleet import start_server
 from standins.replica import Replica
 
 from .platformbuild import SETTINGS, configuration, upstream_record
@@ -40,7 +40,7 @@
         self.replicas: dict[str, Replica] = {}
 
     async def start(self) -> None:
-        self._store_address = await listen(self._nursery, self.log.handle)
+        self._store_address = await start_server(self._nursery, self.log.handle)
 
     def configure(self, version: int = 1, **changes: Any) -> None:
         text = configuration(version, **changes)
@@ -53,7 +53,7 @@
         **changes: Any,
     ) -> Replica:
         replica = Replica(name)
-        address = await listen(self._nursery, replica.handle)
+        address = await start_server(self._nursery, replica.handle)
         self.replicas[name] = replica
         self.announce(name, str(address), service=service, **changes)
         return replica
--- a/tests/test_direct_path.py
+++ b/tests/test_direct_path.py
@@ -11,7 +11,7 @@
 from amaranthrail.exceptions import HttpError
 from amaranthrail.policy.shutdown import STREAM_INTAKE_MS
 from standins.keyedlog import KeyedLog, StoreFault
-from standins.platformfleet import listen
+from standins.platformfleet import start_server
 from standins.replica import STREAM_EVENTS, Behaviour
 
 from .platformbench import PlatformBench, run_on_platform, wait_until
@@ -283,7 +283,7 @@
         async with trio.open_nursery() as nursery:
             stale = KeyedLog()
             stale.topic('keyed.op').put('config', configuration(1))
-            address = await listen(nursery, stale.handle)
+            address = await start_server(nursery, stale.handle)
             settings = {
                 'seed_nodes': f'{first.address.host}:1',
                 'platform.address': str(address),
