--- a/soak/world.py
+++ b/soak/world.py
@@ -220,13 +220,13 @@
         entry: EntryProcess,
     ) -> Felt:
         if step.fault is Fault.ENTRY_PAUSED:
-            entry.signal(signal.SIGSTOP)
+            entry.send_signal(signal.SIGSTOP)
             await trio.sleep(step.lasts_s)
-            entry.signal(signal.SIGCONT)
+            entry.send_signal(signal.SIGCONT)
             return lambda: True
         if step.fault is Fault.ENTRY_RELOADED:
             entry.change_settings(f'{self._fleet.settings(entry)}#\n')
-            entry.signal(signal.SIGHUP)
+            entry.send_signal(signal.SIGHUP)
             return lambda: True
         if step.fault is Fault.ENTRY_KILLED:
             return await self._kill(entry)
@@ -234,7 +234,7 @@
 
     async def _kill(self, entry: EntryProcess) -> Felt:
         async with self._locks[entry.host]:
-            entry.signal(signal.SIGKILL)
+            entry.send_signal(signal.SIGKILL)
             code = await entry.wait()
             await trio.sleep(RESTART_S)
             entry.start(self._fleet.settings(entry))
@@ -255,10 +255,10 @@
         async with self._locks[entry.host]:
             began_at = time.time()
             listens = await trio.to_thread.run_sync(is_listening, entry.address)
-            entry.signal(signal.SIGTERM)
+            entry.send_signal(signal.SIGTERM)
             with trio.move_on_after(LEAVE_S):
                 await entry.wait()
-            entry.signal(signal.SIGKILL)
+            entry.send_signal(signal.SIGKILL)
             code = await entry.wait()
             span = Span(began_at, time.time(), entry.host)
             self.evidence.told_to_leave.append(span)
--- a/standins/platformfleet.py
+++ b/standins/platformfleet.py
@@ -138,7 +138,7 @@
         """Return what the process has written."""
         return self._log.read_text()
 
-    def signal(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send the process a signal."""
         if self._process is not None:
             self._process.send_signal(number)
@@ -236,7 +236,7 @@
                 yield fleet
             finally:
                 for entry in fleet.entries:
-                    entry.signal(signal.SIGKILL)
+                    entry.send_signal(signal.SIGKILL)
                 nursery.cancel_scope.cancel()
 
 
@@ -261,11 +261,11 @@
         for path in ('/stream/1', '/read/1', '/book/1'):
             answer = await entries[0].call('POST', path, f'tour{path}')
             tell(f'{path}: {answer.status}, {len(answer.body)} bytes')
-        entries[0].signal(signal.SIGKILL)
+        entries[0].send_signal(signal.SIGKILL)
         answer = await entries[1].call('GET', '/read/2', 'tour-after-kill')
         tell(f'one entry was killed; another answers {answer.status}')
         fleet.log.topic('keyed.op').put('config', make_configuration(2))
-        entries[1].signal(signal.SIGTERM)
+        entries[1].send_signal(signal.SIGTERM)
         tell(f'an entry was told to leave: exit {await entries[1].wait()}')
         tell('its last lines:')
         tell('\n'.join(entries[1].log_text().splitlines()[-4:]))
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -45,7 +45,7 @@
 
             async def stop() -> None:
                 await wait_until(lambda: bool(fleet.replicas['e1'].executed))
-                entry.signal(signal.SIGTERM)
+                entry.send_signal(signal.SIGTERM)
 
             nursery.start_soon(stop)
             response = await entry.call('POST', '/stream/1', 'a1')
@@ -68,7 +68,7 @@
         added = 'bounds.retry_budget_slack=5\n'
         entry.change_settings(fleet.settings(entry) + added)
         if signalled:
-            entry.signal(signal.SIGHUP)
+            entry.send_signal(signal.SIGHUP)
         await wait_until(lambda: 'settings reloaded' in entry.log_text())
         entry.change_settings('node_name=')
         await wait_until(lambda: 'settings not reloaded' in entry.log_text())
@@ -80,7 +80,7 @@
 def test_a_killed_entry_serves_again_after_a_restart() -> None:
     async def scenario(fleet: PlatformFleet, entry: EntryProcess) -> None:
         fleet.log.topic('keyed.op').put('config', make_configuration(7))
-        entry.signal(signal.SIGKILL)
+        entry.send_signal(signal.SIGKILL)
         await entry.wait()
         entry.start(fleet.settings(entry))
         await entry.until_ready()
