--- a/standins/group.py
+++ b/standins/group.py
@@ -53,7 +53,7 @@
     confirmed: bool = False
     used: list[tuple[int, int]] = field(default_factory=list)
 
-    def holds(self, step: int) -> bool:
+    def is_holding(self, step: int) -> bool:
         """Tell whether the rank cannot take part in a step yet."""
         if self.stalled:
             return True
@@ -160,7 +160,7 @@
     async def _wait_ready(self, step: int) -> None:
         """Poll, since a rank's state changes in many places."""
         while True:
-            if not any(rank.holds(step) for rank in self._ranks):
+            if not any(rank.is_holding(step) for rank in self._ranks):
                 return
             await trio.sleep(_CHECK_S)
 
--- a/tests/rankbench.py
+++ b/tests/rankbench.py
@@ -84,7 +84,7 @@
 
     async def step_forever(self) -> None:
         while True:
-            ready = not any(one.holds(self.step) for one in self.engines)
+            ready = not any(one.is_holding(self.step) for one in self.engines)
             if ready:
                 for engine in self.engines:
                     engine.begin(self.step)
