--- a/standins/group.py
+++ b/standins/group.py
@@ -61,7 +61,7 @@
             return self.joining
         return not self.confirmed
 
-    def begin(self, step: int) -> None:
+    def start_step(self, step: int) -> None:
         """Take part in a step, on the new map if it is due."""
         if self.armed is not None and step >= self.armed.from_step:
             self.version = self.armed.version
@@ -130,7 +130,7 @@
             await self._wait_ready(step)
             self._held_s += trio.current_time() - began
             for rank in self._ranks:
-                rank.begin(step)
+                rank.start_step(step)
             await trio.sleep(self._time_of_step() / 1000)
 
     async def handle(
--- a/tests/rankbench.py
+++ b/tests/rankbench.py
@@ -87,7 +87,7 @@
             ready = not any(one.is_holding(self.step) for one in self.engines)
             if ready:
                 for engine in self.engines:
-                    engine.begin(self.step)
+                    engine.start_step(self.step)
                 self.step += 1
             self.held += not ready
             await trio.sleep(STEP_S)
