--- a/standins/group.py
+++ b/standins/group.py
@@ -71,7 +71,7 @@
         if not self.used or self.used[-1][1] != self.version:
             self.used.append((step, self.version))
 
-    def order(self, name: str, order: MapOrder, step: int) -> bool:
+    def apply_order(self, name: str, order: MapOrder, step: int) -> bool:
         """Carry out an order; tell whether it was."""
         if self.fencing and order.fence < self.fence:
             return False
@@ -146,7 +146,7 @@
         elif request.path.startswith('/group/'):
             name = request.path.rpartition('/')[2]
             order = msgspec.json.decode(request.body, type=MapOrder)
-            done = rank.order(name, order, self._step)
+            done = rank.apply_order(name, order, self._step)
             await send_json(reply, {}, 200 if done else _CONFLICT)
         else:
             await self._control(rank, request, reply)
--- a/tests/rankbench.py
+++ b/tests/rankbench.py
@@ -218,11 +218,11 @@
             # The answer is lost, and the effect comes later, or never.
             trio.lowlevel.spawn_system_task(self._apply_late, name, order)
             return False
-        return self._engine.order(name, order, self._world.step)
+        return self._engine.apply_order(name, order, self._world.step)
 
     async def _apply_late(self, name: str, order: MapOrder) -> None:
         await trio.sleep(self._world.random.uniform(0, MAX_EFFECT_S))
-        self._engine.order(name, order, self._world.step)
+        self._engine.apply_order(name, order, self._world.step)
 
 
 class LateReleaseEngine(MemoryEngine):
@@ -254,7 +254,7 @@
     def _apply(self, due: list[tuple[float, MapOrder]]) -> None:
         for sent in due:
             self._on_its_way.remove(sent)
-            self._engine.order('release', sent[1], self._world.step)
+            self._engine.apply_order('release', sent[1], self._world.step)
 
 
 class MemoryWeights:
