--- a/standins/group.py
+++ b/standins/group.py
@@ -51,7 +51,7 @@
     stalled: bool = False
     armed: MapOrder | None = None
     confirmed: bool = False
-    used: list[tuple[int, int]] = field(default_factory=list)
+    used_versions: list[tuple[int, int]] = field(default_factory=list)
 
     def is_holding(self, step: int) -> bool:
         """Tell whether the rank cannot take part in a step yet."""
@@ -68,8 +68,8 @@
             self.ranks = self.armed.ranks
             self.joining = False
             self._disarm()
-        if not self.used or self.used[-1][1] != self.version:
-            self.used.append((step, self.version))
+        if not self.used_versions or self.used_versions[-1][1] != self.version:
+            self.used_versions.append((step, self.version))
 
     def apply_order(self, name: str, order: MapOrder, step: int) -> bool:
         """Carry out an order; tell whether it was."""
@@ -200,7 +200,7 @@
     ) -> None:
         match request.path:
             case '/control/steps':
-                used = [one.used for one in self._ranks]
+                used = [one.used_versions for one in self._ranks]
                 await send_json(reply, {'step': self._step, 'used': used})
             case '/control/holds':
                 held = {'held_ms': self._held_s * 1000}
--- a/tests/rankbench.py
+++ b/tests/rankbench.py
@@ -154,7 +154,7 @@
 
     def mixed_steps(self) -> list[int]:
         """Return the steps at which ranks used different maps."""
-        return mixed_steps([one.used for one in self.engines])
+        return mixed_steps([one.used_versions for one in self.engines])
 
 
 def mixed_steps(used: list[Used]) -> list[int]:
