--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for the platform and the upstreams, for local use and tests."""
+"""Run local fleets on stand-ins of the platform and the upstreams."""
--- a/standins/calling.py
+++ b/standins/calling.py
@@ -1,4 +1,4 @@
-"""Call servers and wait for conditions as an ordinary program would."""
+"""Call HTTP servers with the standard library, and allot free ports."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 from typing import Any
 
 LOOPBACK = '127.0.0.1'
-_POLL_S = 0.02
-_PORTS = range(10_000, 30_000)
-_MAX_WORKERS = 8
+_POLL_INTERVAL_S = 0.02
+_PORT_RANGE = range(10_000, 30_000)
+_MAX_TEST_WORKERS = 8
 
 
 @dataclass
 class Response:
-    """Hold an HTTP answer as an ordinary client sees it."""
+    """Hold a buffered HTTP response, its header names in lower case."""
 
     status: int
     headers: dict[str, str]
     body: bytes
 
     def json(self) -> Any:
-        """Return the body as JSON."""
+        """Parse the body as JSON. Raises ValueError."""
         return json.loads(self.body)
 
 
@@ -41,7 +41,10 @@
     headers: dict[str, str] | None = None,
     timeout: float = 30,
 ) -> Response:
-    """Call a server with the standard library's client."""
+    """Send a request on a new connection; ``timeout`` is in seconds.
+
+    A dict is sent as JSON. Raises OSError and client.HTTPException.
+    """
     payload = json.dumps(body).encode() if isinstance(body, dict) else body
     connection = client.HTTPConnection(
         address.removeprefix('http://'),
@@ -49,13 +52,13 @@
     )
     with contextlib.closing(connection):
         connection.request(method, target, payload, headers or {})
-        answer = connection.getresponse()
-        fields = {name.lower(): text for name, text in answer.getheaders()}
-        return Response(answer.status, fields, answer.read())
+        response = connection.getresponse()
+        received = {name.lower(): text for name, text in response.getheaders()}
+        return Response(response.status, received, response.read())
 
 
 def responds_ok(address: str, target: str) -> bool:
-    """Tell whether a server answers a target with success."""
+    """Tell whether a GET of a target gets status 200 within 1 s."""
     try:
         return http_call(address, 'GET', target, timeout=1).status == 200
     except (OSError, client.HTTPException):
@@ -63,7 +66,7 @@
 
 
 def is_listening(address: str) -> bool:
-    """Tell whether a process listens at an address."""
+    """Tell whether a TCP connection to an address succeeds within 1 s."""
     host, _, port = address.removeprefix('http://').partition(':')
     try:
         socket.create_connection((host, int(port)), timeout=1).close()
@@ -73,26 +76,27 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that nobody listens at, none of them given out before.
+    """Return unused loopback ports, none of them returned before.
 
-    They lie below those that systems give to outgoing connections, so that
-    none is taken before its process listens.
+    They lie below the ephemeral ports that systems use for outgoing
+    connections, so that no connection takes a port before its process listens.
     """
-    return list(itertools.islice(_DEALT, count))
+    return list(itertools.islice(_FREE_PORTS, count))
 
 
 def worker_ports(worker: str) -> range:
-    """Return the ports of one of the processes that run tests.
+    """Return the port range of one pytest-xdist worker, such as ``gw1``.
 
-    They do not overlap: what one has given out need not be listened at yet.
+    The ranges are disjoint, because a port that one worker has allotted may
+    not be listened on yet and would seem free to another.
     """
-    number = int(worker.removeprefix('gw') or 0) % _MAX_WORKERS
-    size = len(_PORTS) // _MAX_WORKERS
-    return _PORTS[number * size : (number + 1) * size]
+    worker_number = int(worker.removeprefix('gw') or 0) % _MAX_TEST_WORKERS
+    size = len(_PORT_RANGE) // _MAX_TEST_WORKERS
+    return _PORT_RANGE[worker_number * size : (worker_number + 1) * size]
 
 
 def iterate_free_ports(ports: range) -> Iterator[int]:
-    """Yield free ports, each one again only after all others."""
+    """Yield free ports in random order, each again only after all others."""
     shuffled = random.SystemRandom().sample(ports, len(ports))
     return (port for port in itertools.cycle(shuffled) if _is_free(port))
 
@@ -108,14 +112,14 @@
 
 
 def wait_until(condition: Callable[[], object], timeout: float = 60) -> None:
-    """Poll until a condition holds. Raises TimeoutError."""
+    """Poll a condition, for ``timeout`` seconds. Raises TimeoutError."""
     deadline = time.monotonic() + timeout
     while not condition():
         if time.monotonic() > deadline:
-            raise TimeoutError('the condition did not come to hold')
-        time.sleep(_POLL_S)
+            raise TimeoutError('the condition did not become true in time')
+        time.sleep(_POLL_INTERVAL_S)
 
 
-_DEALT = iterate_free_ports(
+_FREE_PORTS = iterate_free_ports(
     worker_ports(os.environ.get('PYTEST_XDIST_WORKER', ''))
 )
--- a/standins/child.py
+++ b/standins/child.py
@@ -1,4 +1,4 @@
-"""Own one process of a local fleet."""
+"""Control one child process of a local fleet."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Child:
-    """Run a Python module as a process that can be started again."""
+    """Run a Python module as a child process that can be restarted."""
 
     def __init__(
         self,
@@ -18,7 +18,11 @@
         environment: dict[str, str],
         log_path: Path,
     ) -> None:
-        """Take the module with its arguments and start it."""
+        """Start ``python -m`` with these arguments.
+
+        ``environment`` is added to that of this process; standard output and
+        error are appended to ``log_path``.
+        """
         self._arguments = arguments
         self._environment = {**os.environ, **environment}
         self._log_path = log_path
@@ -26,48 +30,48 @@
 
     @property
     def pid(self) -> int:
-        """Return the process id."""
+        """Return the process id of the latest start."""
         return self._process.pid
 
     @property
     def running(self) -> bool:
-        """Tell whether the process has not ended."""
+        """Tell whether the process has not exited."""
         return self._process.poll() is None
 
     @property
     def exit_code(self) -> int | None:
-        """Return how the process ended, None while it runs."""
+        """Return the exit code (minus the signal), None while it runs."""
         return self._process.poll()
 
     @property
     def log_text(self) -> str:
-        """Return what the process has written to its log."""
+        """Return all output of the process, of earlier starts too."""
         return self._log_path.read_text()
 
     def send(self, signal_number: int) -> None:
-        """Send a signal to this process alone."""
+        """Send a signal to the process, not its group, if it still runs."""
         if self.running:
             self._process.send_signal(signal_number)
 
     def pause(self) -> None:
-        """Stop the process where it is."""
+        """Suspend the process with SIGSTOP."""
         self.send(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a paused process go on."""
+        """Continue a suspended process with SIGCONT."""
         self.send(signal.SIGCONT)
 
     def kill(self) -> None:
-        """Kill the process and wait until it is gone."""
+        """Send SIGKILL and wait until the process has exited."""
         self.send(signal.SIGKILL)
         self._process.wait()
 
     def restart(self) -> None:
-        """Start the process again after it has ended."""
+        """Start the process again after it has exited."""
         self._process = self._start()
 
     def wait(self, timeout: float) -> int | None:
-        """Return the exit code, None if it does not end in time."""
+        """Return the exit code, None if it still runs after ``timeout`` s."""
         try:
             return self._process.wait(timeout)
         except subprocess.TimeoutExpired:
--- a/standins/deployments.py
+++ b/standins/deployments.py
@@ -1,4 +1,4 @@
-"""Describe the two first users' deployments at their sizes of today."""
+"""Describe the deployments of the first two users at their present sizes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,13 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """Hold one user's places, services and operations."""
+    """Hold the failure domains, services and sizes of a user's deployment.
+
+    ``model`` and ``plain`` name its model service and its plain service.
+    ``operations`` are those of the plain service, each with name, method, path
+    and whether it is idempotent; ``replicas`` and ``services`` count the
+    upstreams of the model service and of the plain service.
+    """
 
     name: str
     region: str
@@ -56,16 +62,19 @@
 
 
 def organisation_names() -> list[str]:
-    """Return the organisations' names."""
+    """Return the names of the organisations that every deployment has."""
     return [
         f'organisation-{number:02}' for number in range(1, _ORGANISATIONS + 1)
     ]
 
 
 def organisation_token(deployment: str, organisation: str) -> str:
-    """Return the caller's token of an organisation, for local use only."""
-    seed = f'local-only/{deployment}/{organisation}'.encode()
-    return hashlib.sha256(seed).hexdigest()[:32]
+    """Derive the bearer token of an organisation's callers.
+
+    Anyone can derive it: it is for local use only.
+    """
+    secret = f'local-only/{deployment}/{organisation}'.encode()
+    return hashlib.sha256(secret).hexdigest()[:32]
 
 
 def make_manifest(
@@ -74,8 +83,16 @@
     slots: int = 8,
     token_ms: float = 6,
 ) -> dict[str, Any]:
-    """Return a deployment's manifest."""
-    chosen = {'pick': 'affinity', 'token_ms': token_ms, **(policies or {})}
+    """Return a deployment's manifest as JSON-able data.
+
+    ``policies`` override the policies of the model service; ``slots`` is per
+    upstream, ``token_ms`` the expected time of a token in milliseconds.
+    """
+    model_policies = {
+        'pick': 'affinity',
+        'token_ms': token_ms,
+        **(policies or {}),
+    }
     return {
         'format': 1,
         'deployment': deployment.name,
@@ -84,7 +101,7 @@
             for domain in deployment.domains
         ],
         'organisations': [
-            _organisation(deployment.name, name, index)
+            _organisation_fields(deployment.name, name, index)
             for index, name in enumerate(organisation_names())
         ],
         'services': [
@@ -94,7 +111,7 @@
                 'models': [deployment.model],
                 'slots': slots,
                 'default_deadline_ms': 60_000,
-                'policies': chosen,
+                'policies': model_policies,
             },
             {
                 'name': deployment.plain,
@@ -117,7 +134,9 @@
     }
 
 
-def _organisation(deployment: str, name: str, index: int) -> dict[str, Any]:
+def _organisation_fields(
+    deployment: str, name: str, index: int
+) -> dict[str, Any]:
     digest = hashlib.sha256(
         organisation_token(deployment, name).encode()
     ).hexdigest()
