--- a/standins/serving.py
+++ b/standins/serving.py
@@ -24,37 +24,39 @@
 
 
 async def send_json(reply: Reply, content: object, status: int = 200) -> None:
-    """Send any JSON-able content."""
+    """Send a whole response with JSON-encoded content."""
     await reply.whole(status, JSON, msgspec.json.encode(content))
 
 
 def read_json(request: HttpRequest) -> dict[str, object]:
-    """Return the JSON object in a request's body, empty where there is none."""
+    """Parse the JSON object in a request's body; an empty body gives {}."""
     if not request.body:
         return {}
-    found: dict[str, object] = msgspec.json.decode(request.body)
-    return found
+    content: dict[str, object] = msgspec.json.decode(request.body)
+    return content
 
 
 async def serve_address(listen: str, handler: Handler) -> None:
-    """Serve on an address until cancelled."""
+    """Serve HTTP on ``HOST:PORT`` until cancelled."""
     address = parse_address(listen)
     listeners = await trio.open_tcp_listeners(address.port, host=address.host)
     state = ServerState(lambda: ServerLimits(_MAX_BODY_BYTES))
 
-    async def answer(stream: trio.abc.Stream) -> None:
+    async def serve_stream(stream: trio.abc.Stream) -> None:
         await serve_connection(stream, handler, state)
 
-    await trio.serve_listeners(answer, listeners)
+    await trio.serve_listeners(serve_stream, listeners)
 
 
-async def run_until_told(*tasks: Callable[[], Awaitable[None]]) -> None:
-    """Run tasks until SIGTERM or SIGINT."""
+async def run_until_signalled(*tasks: Callable[[], Awaitable[None]]) -> None:
+    """Run tasks concurrently and cancel them at SIGTERM or SIGINT."""
     async with trio.open_nursery() as nursery:
         for task in tasks:
             nursery.start_soon(task)
-        with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as told:
-            async for _ in told:
+        with trio.open_signal_receiver(
+            signal.SIGTERM, signal.SIGINT
+        ) as signals:
+            async for _ in signals:
                 nursery.cancel_scope.cancel()
 
 
@@ -63,5 +65,7 @@
     handler: Handler,
     *background: Callable[[], Awaitable[None]],
 ) -> None:
-    """Serve on an address, with background tasks, until told to end."""
-    await run_until_told(partial(serve_address, listen, handler), *background)
+    """Serve HTTP and run background tasks until SIGTERM or SIGINT."""
+    await run_until_signalled(
+        partial(serve_address, listen, handler), *background
+    )
