--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,4 +1,4 @@
-"""Hold the faults and the record of runs that all upstream stand-ins share."""
+"""Inject faults into upstream stand-ins and record the requests they ran."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass
 class Run:
-    """Record one request that truly ran."""
+    """Describe one request that the upstream executed."""
 
     key: str
     method: str
@@ -25,7 +25,12 @@
 
 @dataclass
 class Faults:
-    """Hold what an upstream does wrong, and all that ran there."""
+    """Hold the injected faults of an upstream and the requests it executed.
+
+    ``/control/faults`` sets the attributes by name: ``delay_ms`` is added to
+    each request, ``stall`` stops the work and ``silent`` the bytes of
+    responses, both until reset, and ``cut_after_bytes`` ends a response early.
+    """
 
     delay_ms: float = 0
     stall: bool = False
@@ -34,24 +39,24 @@
     runs: list[Run] = field(default_factory=list)
     changed: trio.Event = field(default_factory=trio.Event)
 
-    def begin(self, request: HttpRequest) -> Run:
-        """Record that a request starts to run."""
+    def record_run(self, request: HttpRequest) -> Run:
+        """Record that a request is being executed."""
         key = request.header('idempotency-key') or ''
         run = Run(key, request.method, request.path)
         self.runs.append(run)
         return run
 
-    async def wait_unstalled(self) -> None:
-        """Return once the upstream is not stalled."""
+    async def wait_not_stalled(self) -> None:
+        """Wait until the fault ``stall`` is not set."""
         while self.stall:
             await self.changed.wait()
 
-    async def wait_heard(self) -> None:
-        """Return once the upstream's bytes get through."""
+    async def wait_not_silent(self) -> None:
+        """Wait until the fault ``silent`` is not set."""
         while self.silent:
             await self.changed.wait()
 
-    async def control(self, request: HttpRequest, reply: Reply) -> None:
+    async def handle_control(self, request: HttpRequest, reply: Reply) -> None:
         """Serve ``/control/runs`` and ``/control/faults``."""
         if request.path == '/control/runs':
             await send_json(reply, self.runs)
@@ -66,14 +71,14 @@
         await send_json(reply, {'done': True})
 
 
-async def send_cut(
+async def send_response(
     reply: Reply,
     faults: Faults,
     headers: tuple[tuple[str, str], ...],
     body: bytes,
 ) -> None:
-    """Send an answer, or only its first bytes where that fault is set."""
-    await faults.wait_heard()
+    """Send a 200 response; end it early where ``cut_after_bytes`` is set."""
+    await faults.wait_not_silent()
     if faults.cut_after_bytes is None:
         await reply.whole(200, headers, body)
         return
--- a/standins/plain.py
+++ b/standins/plain.py
@@ -1,7 +1,8 @@
-"""Stand in for a plain service whose filings must not repeat.
+"""Stand in for a plain HTTP upstream with requests that must not run twice.
 
-Run as ``python -m standins.plain HOST:PORT NAME``. Any POST runs and is
-recorded; any GET answers from its path alone.
+Run as ``python -m standins.plain HOST:PORT NAME``. Every request runs and is
+recorded, so that tests see a keyed request that was executed twice. The
+response depends on the request and NAME alone.
 """
 
 from __future__ import annotations
@@ -14,50 +15,50 @@
 
 from amaranthrail.adapters.httpserver import HttpRequest, Reply
 
-from .faults import Faults, send_cut
+from .faults import Faults, send_response
 from .serving import JSON, serve
 
-_WORK_MS = 5.0
+_SERVICE_TIME_MS = 5.0
 
 
 class PlainService:
-    """Run calls one by one or side by side, as they come."""
+    """Execute requests concurrently and record each."""
 
     def __init__(self, name: str) -> None:
-        """Take the upstream's name, which every answer carries."""
+        """Set the upstream's name, which every response contains."""
         self._name = name
         self._faults = Faults()
 
     async def handle(self, request: HttpRequest, reply: Reply) -> None:
-        """Answer one request."""
+        """Execute a request, or serve the control API."""
         if request.path.startswith('/control/'):
-            await self._faults.control(request, reply)
+            await self._faults.handle_control(request, reply)
             return
-        run = self._faults.begin(request)
-        # What an upstream has begun goes on when the caller hangs up.
+        run = self._faults.record_run(request)
+        # Like a real upstream, finish a request whose caller has disconnected.
         with trio.CancelScope(shield=True):
-            await trio.sleep((_WORK_MS + self._faults.delay_ms) / 1000)
-            await self._faults.wait_unstalled()
+            await trio.sleep((_SERVICE_TIME_MS + self._faults.delay_ms) / 1000)
+            await self._faults.wait_not_stalled()
             run.finished = True
-        body = msgspec.json.encode(self._answer(request))
-        await send_cut(reply, self._faults, JSON, body)
+        body = msgspec.json.encode(self._response_content(request))
+        await send_response(reply, self._faults, JSON, body)
 
-    def _answer(self, request: HttpRequest) -> dict[str, str]:
+    def _response_content(self, request: HttpRequest) -> dict[str, str]:
         key = request.header('idempotency-key') or ''
-        sent = hashlib.sha256(request.body).hexdigest()
+        body_digest = hashlib.sha256(request.body).hexdigest()
         return {
             'id': hashlib.sha256(key.encode()).hexdigest()[:12],
             'path': request.path,
             'key': key,
             'organisation': request.header('x-organisation') or '',
-            'received': sent,
+            'received': body_digest,
             'upstream': self._name,
             'status': 'filed',
         }
 
 
 def main() -> None:
-    """Serve until told to end."""
+    """Serve until SIGTERM or SIGINT."""
     service = PlainService(sys.argv[2])
     trio.run(serve, sys.argv[1], service.handle)
 
