--- a/soak/world.py
+++ b/soak/world.py
@@ -138,7 +138,7 @@
     async def note_versions(self) -> None:
         """Ask each entry for the route that only the newest version has."""
         for host in self._hosts:
-            host.replica.note_run = None
+            host.replica.record_run = None
         for entry in self.entries:
             if not await self._serves_newest(entry):
                 self.evidence.outdated.append(entry.host)
@@ -166,9 +166,9 @@
     def _make_replica(self) -> Replica:
         self._names += 1
         name = f'r{self._names}'
-        return Replica(name, pause_s=PAUSE_S, note_run=self._note_run)
+        return Replica(name, pause_s=PAUSE_S, record_run=self._record_run)
 
-    def _note_run(self, name: str, request: HttpRequest) -> None:
+    def _record_run(self, name: str, request: HttpRequest) -> None:
         self.evidence.ran.append(
             Ran(
                 request.header('attempt-id') or '',
@@ -180,7 +180,7 @@
         )
 
     def _announce(self, host: Host, **changes: object) -> None:
-        self._fleet.announce(
+        self._fleet.write_replica_record(
             host.replica.name,
             host.service,
             address=host.relay.address,
@@ -313,7 +313,7 @@
         elif effect == 'silenced':
             relay.blackhole()
         elif effect == 'deaf':
-            relay.deafen()
+            relay.blackhole_replies()
         else:
             relay.delay(SLOW_MS)
             await trio.sleep(step.lasts_s)
@@ -345,7 +345,7 @@
 
     def _is_listed(self, host: Host) -> bool:
         return (
-            host.replica.name in self._fleet.log.topic('keyed.servers').newest
+            host.replica.name in self._fleet.log.topic('keyed.servers').latest
         )
 
     def _is_met(self, host: Host, replica: Replica, calls: int) -> bool:
--- a/standins/keyedlog.py
+++ b/standins/keyedlog.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's metadata store: keyed topics over HTTP."""
+"""Stand in for the platform's metadata store: compacted topics over HTTP."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class StoreFault(Enum):
-    """Choose how the store fails."""
+    """Select how the store fails: 503, no response, 429 or a malformed body."""
 
     NONE = 'none'
     REFUSING = 'refusing'
@@ -32,48 +32,51 @@
 
 @dataclass
 class Topic:
-    """Hold the records of one topic and the newest of each key."""
+    """Hold the records of one topic and the latest payload of each key."""
 
     records: list[tuple[str, bytes]] = field(default_factory=list)
-    newest: dict[str, bytes] = field(default_factory=dict)
-    first: int = 0
+    latest: dict[str, bytes] = field(default_factory=dict)
+    first_offset: int = 0
     changed: trio.Event = field(default_factory=trio.Event)
 
     @property
-    def end(self) -> int:
+    def end_offset(self) -> int:
         """Return the offset after the last record."""
-        return self.first + len(self.records)
+        return self.first_offset + len(self.records)
 
     def put(self, key: str, payload: bytes) -> None:
-        """Append a record; one without a payload drops its key."""
+        """Append a record; an empty payload deletes the key."""
         self.records.append((key, payload))
-        self.newest.pop(key, None)
+        self.latest.pop(key, None)
         if payload:
-            self.newest[key] = payload
+            self.latest[key] = payload
         self.changed.set()
         self.changed = trio.Event()
 
     def compact(self) -> None:
-        """Drop all records but the newest of each key."""
-        self.first = self.end
+        """Drop all records; the latest payload of each key stays readable.
+
+        A read from an earlier offset then gets 410.
+        """
+        self.first_offset = self.end_offset
         self.records.clear()
 
 
 class KeyedLog:
-    """Serve topics to the processes under test, with faults on demand."""
+    """Serve topics over HTTP; ``fault`` injects a failure into every call."""
 
     def __init__(self) -> None:
-        """Start empty and sound."""
+        """Start with no topics and no fault."""
         self._topics: dict[str, Topic] = {}
         self.fault = StoreFault.NONE
         self.calls = 0
 
     def topic(self, name: str) -> Topic:
-        """Return a topic, made at its first use."""
+        """Return a topic; create it if it does not exist."""
         return self._topics.setdefault(name, Topic())
 
     async def handle(self, request: HttpRequest, reply: Reply) -> None:
-        """Answer one call."""
+        """Serve one call, or fail it as ``fault`` says."""
         self.calls += 1
         if self.fault is StoreFault.SILENT:
             await trio.sleep_forever()
@@ -84,47 +87,53 @@
         elif self.fault is StoreFault.MALFORMED:
             await reply.whole(_HTTP_OK, (), b'\xff')
         else:
-            await self._answer(request, reply)
+            await self._dispatch(request, reply)
 
-    async def _answer(self, request: HttpRequest, reply: Reply) -> None:
-        call = request.path.rpartition('/')[2]
+    async def _dispatch(self, request: HttpRequest, reply: Reply) -> None:
+        operation = request.path.rpartition('/')[2]
         topic = self.topic(request.query['topic'])
-        if call == 'log-newest':
-            await self._newest(topic, reply)
-        elif call == 'log-append':
+        if operation == 'log-newest':
+            await self._send_latest(topic, reply)
+        elif operation == 'log-append':
             await self._append(topic, request.body, reply)
         else:
-            await self._read(topic, request.query, reply)
+            await self._send_records(topic, request.query, reply)
 
-    async def _newest(self, topic: Topic, reply: Reply) -> None:
-        listed = [
+    async def _send_latest(self, topic: Topic, reply: Reply) -> None:
+        latest = [
             {'key': key, 'value': base64.b64encode(payload).decode()}
-            for key, payload in topic.newest.items()
+            for key, payload in topic.latest.items()
         ]
-        page = {'items': listed, 'has_more': False, 'end_offset': topic.end}
+        page = {
+            'items': latest,
+            'has_more': False,
+            'end_offset': topic.end_offset,
+        }
         await send_json(reply, _HTTP_OK, page)
 
     async def _append(self, topic: Topic, body: bytes, reply: Reply) -> None:
         record = body[_LENGTH.size :]
-        key_end = 1 + record[0]
-        topic.put(record[1:key_end].decode(), record[key_end:])
-        await send_json(reply, _HTTP_OK, {'end_offset': topic.end})
+        payload_start = 1 + record[0]
+        topic.put(record[1:payload_start].decode(), record[payload_start:])
+        await send_json(reply, _HTTP_OK, {'end_offset': topic.end_offset})
 
-    async def _read(
+    async def _send_records(
         self,
         topic: Topic,
         query: dict[str, str],
         reply: Reply,
     ) -> None:
         offset = int(query['from'])
-        if offset < topic.first:
-            await send_json(reply, _HTTP_GONE, {'first_offset': topic.first})
+        if offset < topic.first_offset:
+            await send_json(
+                reply, _HTTP_GONE, {'first_offset': topic.first_offset}
+            )
             return
-        if offset >= topic.end:
+        if offset >= topic.end_offset:
             with trio.move_on_after(int(query['wait_ms']) / 1000):
                 await topic.changed.wait()
-        body = _OFFSETS.pack(topic.end, topic.first)
-        for key, payload in topic.records[offset - topic.first :]:
+        body = _OFFSETS.pack(topic.end_offset, topic.first_offset)
+        for key, payload in topic.records[offset - topic.first_offset :]:
             name = key.encode()
             record = b''.join((bytes((len(name),)), name, payload))
             body += _LENGTH.pack(len(record)) + record
--- a/standins/platformfleet.py
+++ b/standins/platformfleet.py
@@ -1,4 +1,4 @@
-"""Start direct entries as processes against stand-ins of the platform."""
+"""Run direct entries as processes against stand-ins of the platform."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 from .replica import Replica
 
 _MAX_BODY_BYTES = 1_000_000
-_READY_S = 20.0
-_LOOK_S = 0.05
+_READY_TIMEOUT_S = 20.0
+_POLL_INTERVAL_S = 0.05
 _HTTP_OK = 200
 _SETTINGS = """
 node_name=entry-{number}
@@ -50,9 +50,9 @@
 
 
 def make_configuration(version: int) -> bytes:
-    """Return a configuration with a route for each kind of call.
+    """Return a configuration with a route for each kind of call, as JSON.
 
-    One more route, ``/vN/``, is there only in version N.
+    Version N has one more route, ``/vN/``, by which tests recognise it.
     """
     kinds = {
         'stream': ('streaming', 'engine'),
@@ -83,23 +83,23 @@
 
 
 async def start_server(nursery: trio.Nursery, handler: Handler) -> Address:
-    """Serve HTTP on a free port and return its address."""
+    """Serve HTTP on a free loopback port in the nursery; return its address."""
     state = ServerState(lambda: ServerLimits(_MAX_BODY_BYTES))
 
-    async def serve(stream: trio.SocketStream) -> None:
+    async def serve_stream(stream: trio.SocketStream) -> None:
         await serve_connection(stream, handler, state)
 
     listeners = await trio.open_tcp_listeners(0, host='127.0.0.1')
-    nursery.start_soon(trio.serve_listeners, serve, listeners)
+    nursery.start_soon(trio.serve_listeners, serve_stream, listeners)
     host, port = listeners[0].socket.getsockname()[:2]
     return Address(host, port)
 
 
 class EntryProcess:
-    """Hold one entry's process and call it as clients do."""
+    """Control one entry process and call it as clients do."""
 
     def __init__(self, host: str, directory: Path) -> None:
-        """Take the entry's host and where its files go."""
+        """Set the entry's IP address and the directory of its files."""
         self._host = host
         self._settings = directory / f'{host}.conf'
         self._log = directory / f'{host}.log'
@@ -108,16 +108,16 @@
 
     @property
     def host(self) -> str:
-        """Return the host's IP number."""
+        """Return the IP address on which the entry listens."""
         return self._host
 
     @property
     def address(self) -> str:
-        """Return where callers reach it."""
+        """Return the ``HOST:PORT`` for callers."""
         return f'{self._host}:8227'
 
     def start(self, settings: str) -> None:
-        """Start the process with these settings."""
+        """Write the settings file and start the process."""
         self._settings.write_text(settings)
         with self._log.open('ab') as output:
             self._process = subprocess.Popen(
@@ -131,33 +131,33 @@
             )
 
     def change_settings(self, settings: str) -> None:
-        """Write other settings for the process to find."""
+        """Overwrite the settings file; the process reads it at SIGHUP."""
         self._settings.write_text(settings)
 
     def log_text(self) -> str:
-        """Return what the process has written."""
+        """Return all output of the process, of earlier starts too."""
         return self._log.read_text()
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send the process a signal."""
+        """Send a signal to the process, if one was started."""
         if self._process is not None:
             self._process.send_signal(number)
 
     async def wait(self) -> int:
-        """Return the exit code once the process has ended."""
+        """Wait until the process has exited; return its exit code."""
         if self._process is None:
             return 0
         return await trio.to_thread.run_sync(self._process.wait)
 
     async def until_ready(self) -> None:
-        """Return once the entry calls itself ready."""
+        """Wait until the readiness probe gets 200. Raises trio.TooSlowError."""
         probe = HttpClient(Address(self._host, 8220))
-        with trio.fail_after(_READY_S):
+        with trio.fail_after(_READY_TIMEOUT_S):
             while not await _is_ready(probe):  # noqa: ASYNC110
-                await trio.sleep(_LOOK_S)
+                await trio.sleep(_POLL_INTERVAL_S)
 
     async def call(self, method: str, path: str, attempt: str) -> HttpAnswer:
-        """Return the answer to one call."""
+        """Send a call with a valid API key and a deadline of 3 s."""
         headers = (
             ('host', 'h.example'),
             ('attempt-id', attempt),
@@ -168,10 +168,10 @@
 
 
 class PlatformFleet:
-    """Hold the platform's stand-ins and the entries that use them."""
+    """Run the store, the replicas and the entries that use them."""
 
     def __init__(self, nursery: trio.Nursery, directory: Path) -> None:
-        """Take where servers run and where files go."""
+        """Set the nursery of the servers and the directory of the files."""
         self._nursery = nursery
         self._directory = directory
         self.store_address = Address('', 0)
@@ -180,26 +180,28 @@
         self.entries: list[EntryProcess] = []
 
     async def start(self) -> None:
-        """Start the store and write the first configuration."""
+        """Start the store and write version 1 of the configuration."""
         self.store_address = await start_server(self._nursery, self.log.handle)
         self.log.topic('keyed.op').put('config', make_configuration(1))
 
     async def add_replica(self, name: str, service: str) -> Replica:
-        """Start a replica and write its record."""
+        """Start a replica and write its record to the store."""
         replica = Replica(name)
         address = await start_server(self._nursery, replica.handle)
         self.replicas[name] = replica
-        self.announce(name, service, address=str(address))
+        self.write_replica_record(name, service, address=str(address))
         return replica
 
-    def announce(self, name: str, service: str, **changes: Any) -> None:
-        """Write a replica's record."""
+    def write_replica_record(
+        self, name: str, service: str, **changes: Any
+    ) -> None:
+        """Write a replica's record to the store; ``changes`` set its fields."""
         record = {
             'service': service,
             'zone': 'a',
             'slots': 6,
             'state': 'ready',
-            'sequence': self.log.topic('keyed.servers').end + 1,
+            'sequence': self.log.topic('keyed.servers').end_offset + 1,
             'born': 1,
             **changes,
         }
@@ -207,18 +209,18 @@
         self.log.topic('keyed.servers').put(name, payload)
 
     def settings(self, entry: EntryProcess) -> str:
-        """Return the settings of an entry."""
+        """Return the text of an entry's settings file."""
         return _SETTINGS.format(
             number=entry.host.rpartition('.')[2],
             host=entry.host,
-            seeds=','.join(f'{one.host}:8229' for one in self.entries),
+            seeds=','.join(f'{seed.host}:8229' for seed in self.entries),
             store=self.store_address,
         )
 
     def add_entry(self) -> EntryProcess:
-        """Start another entry on a loopback address of its own."""
-        group, lower = divmod(os.getpid() % 62_500, 250)
-        host = f'127.{group + 1}.{lower}.{len(self.entries) + 1}'
+        """Start an entry on a loopback address that no other one uses."""
+        second_octet, third_octet = divmod(os.getpid() % 62_500, 250)
+        host = f'127.{second_octet + 1}.{third_octet}.{len(self.entries) + 1}'
         entry = EntryProcess(host, self._directory)
         self.entries.append(entry)
         entry.start(self.settings(entry))
@@ -227,7 +229,7 @@
 
 @asynccontextmanager
 async def platform_fleet() -> AsyncIterator[PlatformFleet]:
-    """Give a fleet and end its processes afterwards."""
+    """Yield a fleet with a store; kill its entries afterwards."""
     with tempfile.TemporaryDirectory() as directory:
         async with trio.open_nursery() as nursery:
             fleet = PlatformFleet(nursery, Path(directory))
@@ -244,11 +246,11 @@
     try:
         return (await probe.call('GET', '/')).status == _HTTP_OK
     except HttpError:
-        # Not listening yet.
+        # The entry does not listen yet.
         return False
 
 
-async def _tour() -> None:
+async def _run_tour() -> None:
     async with platform_fleet() as fleet:
         for name, service in (('e1', 'engine'), ('e2', 'engine')):
             await fleet.add_replica(name, service)
@@ -256,20 +258,22 @@
         entries = [fleet.add_entry() for _ in range(3)]
         for entry in entries:
             await entry.until_ready()
-        tell = partial(print, flush=True)
-        tell(f'{len(entries)} entries are ready')
+        write = partial(print, flush=True)
+        write(f'{len(entries)} entries are ready')
         for path in ('/stream/1', '/read/1', '/book/1'):
-            answer = await entries[0].call('POST', path, f'tour{path}')
-            tell(f'{path}: {answer.status}, {len(answer.body)} bytes')
+            response = await entries[0].call('POST', path, f'tour{path}')
+            write(f'{path}: {response.status}, {len(response.body)} bytes')
         entries[0].send_signal(signal.SIGKILL)
-        answer = await entries[1].call('GET', '/read/2', 'tour-after-kill')
-        tell(f'one entry was killed; another answers {answer.status}')
+        response = await entries[1].call('GET', '/read/2', 'tour-after-kill')
+        write(f'killed entry 1; entry 2 responds with {response.status}')
         fleet.log.topic('keyed.op').put('config', make_configuration(2))
         entries[1].send_signal(signal.SIGTERM)
-        tell(f'an entry was told to leave: exit {await entries[1].wait()}')
-        tell('its last lines:')
-        tell('\n'.join(entries[1].log_text().splitlines()[-4:]))
+        write(
+            f'entry 2 shut down after SIGTERM: exit {await entries[1].wait()}'
+        )
+        write('the last lines of its log:')
+        write('\n'.join(entries[1].log_text().splitlines()[-4:]))
 
 
 if __name__ == '__main__':
-    trio.run(_tour)
+    trio.run(_run_tour)
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -1,4 +1,4 @@
-"""Stand in for the network: relay connections that can be cut or go silent."""
+"""Inject network faults into relayed TCP connections."""
 
 from __future__ import annotations
 
@@ -12,138 +12,143 @@
 _CHUNK_BYTES = 65_536
 
 
-class _Pair:
-    """Relay one connection in both directions."""
+class _RelayedConnection:
+    """Relay one connection in both directions.
 
-    def __init__(self, near: socket.socket, far: socket.socket) -> None:
-        self._near = near
-        self._far = far
-        self._silent = False
-        self._deaf = False
+    ``client`` is the side that connected to the relay, ``server`` the target.
+    """
+
+    def __init__(self, client: socket.socket, server: socket.socket) -> None:
+        self._client = client
+        self._server = server
+        self._drops_all = False
+        self._drops_replies = False
         self._delay_s = 0.0
 
     def start(self) -> None:
-        """Relay until either side closes."""
+        """Start a thread for each direction; it runs until a side closes."""
         for source, target in (
-            (self._near, self._far),
-            (self._far, self._near),
+            (self._client, self._server),
+            (self._server, self._client),
         ):
             threading.Thread(
-                target=self._pump,
+                target=self._copy,
                 args=(source, target),
                 daemon=True,
             ).start()
 
     def blackhole(self) -> None:
-        """Swallow all that comes from now on; both ends stay open."""
-        self._silent = True
+        """Drop all bytes from now on; both sides stay open."""
+        self._drops_all = True
 
-    def deafen(self) -> None:
-        """Swallow what the far end sends from now on; the rest goes on."""
-        self._deaf = True
+    def blackhole_replies(self) -> None:
+        """Drop the server's bytes from now on, but relay the client's."""
+        self._drops_replies = True
 
     def delay(self, delay_ms: float) -> None:
-        """Hold up each piece of what comes."""
+        """Delay each chunk of both directions."""
         self._delay_s = delay_ms / 1000
 
     def cut(self) -> None:
-        """Close both ends."""
-        for one in (self._near, self._far):
+        """Shut both sides down."""
+        for side in (self._client, self._server):
             with contextlib.suppress(OSError):
-                one.shutdown(socket.SHUT_RDWR)
+                side.shutdown(socket.SHUT_RDWR)
 
-    def _pump(self, source: socket.socket, target: socket.socket) -> None:
+    def _copy(self, source: socket.socket, target: socket.socket) -> None:
         with contextlib.suppress(OSError):
             while received := source.recv(_CHUNK_BYTES):
                 if self._delay_s:
                     time.sleep(self._delay_s)
-                if not self._swallows(source):
+                if not self._is_dropped(source):
                     target.sendall(received)
-        if not self._swallows(source):
+        if not self._is_dropped(source):
             self.cut()
             self._close()
 
-    def _swallows(self, source: socket.socket) -> bool:
-        return self._silent or (self._deaf and source is self._far)
+    def _is_dropped(self, source: socket.socket) -> bool:
+        return self._drops_all or (
+            self._drops_replies and source is self._server
+        )
 
     def _close(self) -> None:
-        for one in (self._near, self._far):
-            one.close()
+        for side in (self._client, self._server):
+            side.close()
 
 
 class Relay:
-    """Relay to one address, from a port of its own."""
+    """Accept connections on a port and relay each to one target address."""
 
     def __init__(self, target: str) -> None:
-        """Listen; ``target`` is dialled for each connection."""
+        """Listen on a free loopback port; ``target`` is ``HOST:PORT``."""
         host, _, port = target.partition(':')
         self._target = (host, int(port))
         self._listener = socket.create_server((LOOPBACK, 0))
-        self._pairs: list[_Pair] = []
+        self._connections: list[_RelayedConnection] = []
         self._delay_ms = 0.0
         self._refusing = False
         threading.Thread(target=self._accept, daemon=True).start()
 
     @property
     def address(self) -> str:
-        """Return where the relay listens."""
+        """Return the ``HOST:PORT`` on which the relay listens."""
         return f'{LOOPBACK}:{self._listener.getsockname()[1]}'
 
     @property
     def connections(self) -> int:
-        """Return how many connections have been relayed."""
-        return len(self._pairs)
+        """Return the number of connections relayed so far."""
+        return len(self._connections)
 
     def blackhole(self) -> None:
-        """Let the open connections go silent for good; new ones work."""
-        for pair in self._pairs:
-            pair.blackhole()
+        """Drop all bytes on the open connections for good; new ones work."""
+        for connection in self._connections:
+            connection.blackhole()
 
-    def deafen(self) -> None:
-        """Let nothing come back on the open connections; new ones work."""
-        for pair in self._pairs:
-            pair.deafen()
+    def blackhole_replies(self) -> None:
+        """Drop the target's bytes on the open connections; new ones work."""
+        for connection in self._connections:
+            connection.blackhole_replies()
 
     def cut(self) -> None:
-        """Cut the open connections; new ones work."""
-        for pair in self._pairs:
-            pair.cut()
+        """Close the open connections; new ones work."""
+        for connection in self._connections:
+            connection.cut()
 
     def refuse(self, *, refusing: bool) -> None:
-        """Cut what is open and let nothing new through, or let it again."""
+        """Close all connections and refuse new ones, or accept them again."""
         self._refusing = refusing
         if refusing:
             self.cut()
 
     def delay(self, delay_ms: float) -> None:
-        """Delay what goes over open and new connections."""
+        """Delay each chunk on open and new connections by milliseconds."""
         self._delay_ms = delay_ms
-        for pair in self._pairs:
-            pair.delay(delay_ms)
+        for connection in self._connections:
+            connection.delay(delay_ms)
 
     def close(self) -> None:
-        """Stop listening and cut what is open."""
+        """Stop listening and close the open connections."""
         self._listener.close()
         self.cut()
 
     def _accept(self) -> None:
         while self._listener.fileno() >= 0:
             try:
-                near, _ = self._listener.accept()
+                client, _ = self._listener.accept()
             except OSError:
                 return
-            self._join(near)
+            self._relay(client)
 
-    def _join(self, near: socket.socket) -> None:
+    def _relay(self, client: socket.socket) -> None:
         if self._refusing:
-            near.close()
+            client.close()
             return
         try:
-            far = socket.create_connection(self._target)
+            server = socket.create_connection(self._target)
         except OSError:
-            near.close()
+            client.close()
             return
-        pair = _Pair(near, far)
-        pair.delay(self._delay_ms)
-        self._pairs.append(pair)
-        pair.start()
+        connection = _RelayedConnection(client, server)
+        connection.delay(self._delay_ms)
+        self._connections.append(connection)
+        connection.start()
--- a/standins/replica.py
+++ b/standins/replica.py
@@ -1,4 +1,4 @@
-"""Stand in for a replica on the users' platform, with its misbehaviour."""
+"""Stand in for a replica on the users' platform, with fault injection."""
 
 from __future__ import annotations
 
@@ -13,13 +13,22 @@
 
 _HTTP_OK = 200
 _HTTP_MISDIRECTED = 421
-_HTTP_FAILED = 500
+_HTTP_SERVER_ERROR = 500
 _HTTP_UNAVAILABLE = 503
+#: Events of a whole stream, with ids from 1.
 STREAM_EVENTS = 6
 
 
 class Behaviour(Enum):
-    """Choose what a replica does with a call."""
+    """Select how a replica responds.
+
+    SHEDDING refuses a call with 503 before it runs, FAILING responds with 500,
+    TRUNCATING ends a response early and TRUNCATING_IN_EVENT ends a stream in
+    the middle of an event. UNRESPONSIVE sends nothing, STALLING stops in the
+    middle of a stream. WRONG_ATTEMPT_ID returns the attempt id of another call,
+    UNSIGNED omits the replica signature and ENCODED declares a
+    content-encoding.
+    """
 
     HEALTHY = 'sound'
     SHEDDING = 'shedding'
@@ -35,7 +44,11 @@
 
 @dataclass
 class Replica:
-    """Run calls, note them, and answer as it is told to."""
+    """Execute calls, record them, and respond as ``behaviour`` says.
+
+    ``executed`` has the calls that began; ``pause_s`` is the time of a call
+    and between two events of a stream, in seconds.
+    """
 
     name: str
     behaviour: Behaviour = Behaviour.HEALTHY
@@ -43,10 +56,10 @@
     refused: int = 0
     cancelled: int = 0
     pause_s: float = 0
-    note_run: Callable[[str, HttpRequest], None] | None = None
+    record_run: Callable[[str, HttpRequest], None] | None = None
 
     async def handle(self, request: HttpRequest, reply: Reply) -> None:
-        """Answer one call."""
+        """Respond to one call."""
         if request.header('expect-replica') != self.name:
             self.refused += 1
             await send_json(reply, _HTTP_MISDIRECTED, {})
@@ -56,33 +69,35 @@
             await reply.whole(_HTTP_UNAVAILABLE, (('not-executed', '1'),), b'')
             return
         self.executed.append(request)
-        if self.note_run is not None:
-            self.note_run(self.name, request)
+        if self.record_run is not None:
+            self.record_run(self.name, request)
         try:
-            await self._run(request, reply)
+            await self._execute(request, reply)
         except trio.Cancelled:
             self.cancelled += 1
             raise
 
     def _headers(self, request: HttpRequest) -> tuple[tuple[str, str], ...]:
-        attempt = request.header('attempt-id') or ''
+        attempt_id = request.header('attempt-id') or ''
         if self.behaviour is Behaviour.WRONG_ATTEMPT_ID:
-            attempt = 'of-another'
-        headers = [('attempt-id', attempt), ('replica-load', '1,0,6')]
+            attempt_id = 'of-another'
+        headers = [('attempt-id', attempt_id), ('replica-load', '1,0,6')]
         if self.behaviour is not Behaviour.UNSIGNED:
             headers.append(('replica-signature', f'signed-{self.name}'))
         if self.behaviour is Behaviour.ENCODED:
             headers.append(('content-encoding', 'gzip'))
         return tuple(headers)
 
-    async def _run(self, request: HttpRequest, reply: Reply) -> None:
+    async def _execute(self, request: HttpRequest, reply: Reply) -> None:
         if self.behaviour is Behaviour.UNRESPONSIVE:
             await trio.sleep_forever()
         await trio.sleep(self.pause_s)
         if self.behaviour is Behaviour.FAILING:
-            await reply.whole(_HTTP_FAILED, self._headers(request), b'failed')
+            await reply.whole(
+                _HTTP_SERVER_ERROR, self._headers(request), b'failed'
+            )
         elif request.path.startswith('/stream/'):
-            await self._stream(request, reply)
+            await self._send_stream(request, reply)
         elif self.behaviour is Behaviour.TRUNCATING:
             await reply.start(_HTTP_OK, self._headers(request))
             await reply.part(b'half of an ans')
@@ -90,20 +105,20 @@
             body = f'{self.name} did {request.target}'.encode()
             await reply.whole(_HTTP_OK, self._headers(request), body)
 
-    async def _stream(self, request: HttpRequest, reply: Reply) -> None:
-        first = int(request.header('last-event-id') or '0') + 1
-        kind = ('content-type', 'text/event-stream')
-        await reply.start(_HTTP_OK, (kind, *self._headers(request)))
-        for number in range(first, STREAM_EVENTS + 1):
-            cuts = self.behaviour in {
+    async def _send_stream(self, request: HttpRequest, reply: Reply) -> None:
+        first_id = int(request.header('last-event-id') or '0') + 1
+        content_type = ('content-type', 'text/event-stream')
+        await reply.start(_HTTP_OK, (content_type, *self._headers(request)))
+        for number in range(first_id, STREAM_EVENTS + 1):
+            truncates = self.behaviour in {
                 Behaviour.TRUNCATING,
                 Behaviour.TRUNCATING_IN_EVENT,
             }
-            if cuts and number == first + 2:
+            if truncates and number == first_id + 2:
                 if self.behaviour is Behaviour.TRUNCATING_IN_EVENT:
                     await reply.part(f'id: {number}\ndata: of it o'.encode())
                 return
-            if self.behaviour is Behaviour.STALLING and number == first + 2:
+            if self.behaviour is Behaviour.STALLING and number == first_id + 2:
                 await trio.sleep_forever()
             await reply.part(f'id: {number}\ndata: {number}\n\n'.encode())
             await trio.sleep(self.pause_s)
