--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,6 +1,6 @@
-"""Start a whole deployment as separate local processes.
+"""Run a whole deployment as separate local processes.
 
-Run as ``python -m standins.fleet --deployment valtrebbia``. When all is ready
+Run as ``python -m standins.fleet --deployment valtrebbia``. When all are ready,
 one JSON line on standard output names every process; SIGINT or SIGTERM ends
 them all.
 """
@@ -47,14 +47,14 @@
 )
 
 _END_TIMEOUT_S = 8.0
-_LOG_TAIL = 2000
+_LOG_TAIL_CHARS = 2000
 
 
 class Fleet:
-    """Own all processes of a local deployment."""
+    """Start, control and end all processes of a local deployment."""
 
     def __init__(self, plan: FleetPlan, folder: Path) -> None:
-        """Start the processes; ``folder`` takes their logs."""
+        """Start the processes; their logs go to ``folder``."""
         self._plan = plan
         self._folder = folder
         self._deployment: Deployment = DEPLOYMENTS[plan.deployment]
@@ -72,41 +72,47 @@
 
     @property
     def deployment(self) -> Deployment:
-        """Return whose deployment this is."""
+        """Return the description of the deployment that the fleet runs."""
         return self._deployment
 
     @property
     def platform(self) -> Child:
-        """Return the platform's process."""
+        """Return the process of the platform stand-in."""
         return self._platform
 
     @property
     def platform_address(self) -> str:
-        """Return the platform's address."""
+        """Return the ``HOST:PORT`` of the platform stand-in."""
         return self._platform_address
 
     @property
     def entries(self) -> list[EntryProcess]:
-        """Return the entries."""
+        """Return the entry processes, in the order of their numbers."""
         return self._entries
 
     @property
     def upstreams(self) -> list[UpstreamProcess]:
-        """Return the upstreams with their sidecars."""
+        """Return all upstreams with their sidecars, ranks included."""
         return self._upstreams
 
     @property
     def ranks(self) -> list[UpstreamProcess]:
-        """Return the ranks of the group, which share one process."""
-        return [one for one in self._upstreams if one.group]
+        """Return the ranks of the group; they share one engine process."""
+        return [upstream for upstream in self._upstreams if upstream.group]
 
     def upstreams_of(self, service: str) -> list[UpstreamProcess]:
-        """Return the upstreams of one service."""
-        return [one for one in self._upstreams if one.service == service]
+        """Return the upstreams of a service, in the order of their numbers."""
+        return [
+            upstream
+            for upstream in self._upstreams
+            if upstream.service == service
+        ]
 
-    def find(self, name: str) -> UpstreamProcess:
-        """Return the upstream of a name."""
-        return next(one for one in self._upstreams if one.name == name)
+    def find_upstream(self, name: str) -> UpstreamProcess:
+        """Return the upstream with a name. Raises StopIteration."""
+        return next(
+            upstream for upstream in self._upstreams if upstream.name == name
+        )
 
     def manifest(self) -> dict[str, Any]:
         """Return the manifest that the fleet starts with."""
@@ -119,38 +125,41 @@
         )
 
     def token(self, number: int = 0) -> str:
-        """Return the caller's token of an organisation."""
+        """Return the bearer token of the organisation at an index."""
         return organisation_token(
             self._plan.deployment, organisation_names()[number]
         )
 
     def set_platform_faults(self, **faults: object) -> None:
-        """Set faults of the platform."""
+        """Inject faults into the platform, by the names in its control API."""
         http_call(self._platform_address, 'POST', '/control/faults', faults)
 
     def set_hosts(self, draining: tuple[str, ...] = ()) -> None:
-        """Tell the platform which hosts there are."""
+        """Set the platform's host list; ``draining`` names upstreams."""
         hosts = [
             {
-                'upstream': one.name,
-                'service': one.service,
-                'domain': one.domain,
-                'host': one.listed_address.split(':')[0],
-                'port': int(one.listed_address.split(':')[1]),
-                'state': 'leaving' if one.name in draining else 'live',
-                'group': one.group,
-                'rank': one.rank,
+                'upstream': upstream.name,
+                'service': upstream.service,
+                'domain': upstream.domain,
+                'host': upstream.listed_address.split(':')[0],
+                'port': int(upstream.listed_address.split(':')[1]),
+                'state': 'leaving' if upstream.name in draining else 'live',
+                'group': upstream.group,
+                'rank': upstream.rank,
             }
-            for one in self._upstreams
+            for upstream in self._upstreams
         ]
-        order = {'hosts': hosts}
-        http_call(self._platform_address, 'POST', '/control/hosts', order)
+        content = {'hosts': hosts}
+        http_call(self._platform_address, 'POST', '/control/hosts', content)
 
     def publish(self, manifest: dict[str, Any], *flags: str) -> Response:
-        """Publish a manifest with the command line, straight to the log."""
+        """Publish a manifest with the command line, directly to the log.
+
+        The status of the result is the exit code of the command.
+        """
         path = self._folder / 'manifest.json'
         path.write_text(json.dumps(manifest))
-        found = self.run_command(
+        completed = self.run_command(
             'manifest',
             'publish',
             str(path),
@@ -159,12 +168,12 @@
             self._platform_address,
             *flags,
         )
-        return Response(found.returncode, {}, found.stdout)
+        return Response(completed.returncode, {}, completed.stdout)
 
     def run_command(
         self, *arguments: str
     ) -> subprocess.CompletedProcess[bytes]:
-        """Run the product's command line against this fleet."""
+        """Run the ``amaranthrail`` command against this fleet."""
         admins = ','.join(entry.admin for entry in self._entries)
         environment = {
             **os.environ,
@@ -179,37 +188,42 @@
         )
 
     def wait_ready(self) -> None:
-        """Publish the manifest and wait until all serve."""
+        """Publish the manifest and wait until every process serves.
+
+        Raises RuntimeError if the manifest is not accepted, else TimeoutError.
+        """
         wait_until(lambda: responds_ok(self._platform_address, '/hosts'))
         self.set_hosts()
         if not self._plan.publish:
             return
         published = self.publish(self.manifest())
         if published.status:
-            raise RuntimeError(f'not published: {published.body!r}')
+            raise RuntimeError(f'manifest not published: {published.body!r}')
         for entry in self._entries:
             self.wait_entry_ready(entry)
-        # A sidecar takes work before its upstream listens.
+        # A sidecar accepts work before its upstream listens.
         wait_until(
-            lambda: all(is_listening(one.url) for one in self._upstreams)
+            lambda: all(
+                is_listening(upstream.url) for upstream in self._upstreams
+            )
         )
 
-    def failed_logs(self) -> str:
-        """Return the end of the log of each process that has ended badly."""
+    def failed_process_logs(self) -> str:
+        """Return the last 2000 characters of each failed process's log."""
         return '\n'.join(
-            child.log_text[-_LOG_TAIL:]
+            child.log_text[-_LOG_TAIL_CHARS:]
             for child in self.children()
             if child.exit_code
         )
 
     def wait_entry_ready(self, entry: EntryProcess) -> None:
-        """Wait until an entry serves with all sidecars connected."""
-        wait_until(lambda: self._all_connected(entry))
+        """Wait until an entry is ready and every sidecar has its manifest."""
+        wait_until(lambda: self._is_fully_connected(entry))
 
     def status(self, entry: EntryProcess) -> Any:
-        """Return an entry's status, None while it does not answer."""
+        """Return an entry's status, None if it does not respond within 5 s."""
         try:
-            answer = http_call(
+            response = http_call(
                 entry.admin,
                 'GET',
                 '/v1/status',
@@ -218,10 +232,10 @@
             )
         except (OSError, client.HTTPException):
             return None
-        return answer.json() if answer.status == 200 else None
+        return response.json() if response.status == 200 else None
 
-    def wait_entry_answers(self, entry: EntryProcess) -> None:
-        """Wait until an entry answers its administration port."""
+    def wait_entry_responds(self, entry: EntryProcess) -> None:
+        """Wait until an entry's administration API returns its status."""
         wait_until(lambda: self.status(entry))
 
     def admin_call(
@@ -230,7 +244,7 @@
         target: str,
         body: dict[str, Any] | None = None,
     ) -> Response:
-        """Call the administration API of the last entry."""
+        """Send an authorised request to the last entry's administration API."""
         return http_call(
             self._entries[-1].admin,
             method,
@@ -240,37 +254,37 @@
         )
 
     def runs(self, service: str) -> list[dict[str, Any]]:
-        """Return all that truly ran at the upstreams of a service."""
+        """Return the requests that the upstreams of a service executed."""
         return [
             run
-            for one in self.upstreams_of(service)
-            for run in http_call(one.url, 'GET', '/control/runs').json()
+            for upstream in self.upstreams_of(service)
+            for run in http_call(upstream.url, 'GET', '/control/runs').json()
         ]
 
     def describe(self) -> dict[str, Any]:
-        """Return what a program needs to use and disturb the fleet."""
+        """Return the addresses, process ids and tokens as JSON-able data."""
         return {
             'entries': [
-                {'url': one.url, 'admin': one.admin, 'pid': one.child.pid}
-                for one in self._entries
+                {'url': entry.url, 'admin': entry.admin, 'pid': entry.child.pid}
+                for entry in self._entries
             ],
             'sidecars': [
                 {
-                    'service': one.service,
-                    'upstream': one.name,
-                    'pid': one.sidecar.pid,
-                    'address': one.sidecar_address,
+                    'service': upstream.service,
+                    'upstream': upstream.name,
+                    'pid': upstream.sidecar.pid,
+                    'address': upstream.sidecar_address,
                 }
-                for one in self._upstreams
+                for upstream in self._upstreams
             ],
             'upstreams': [
                 {
-                    'service': one.service,
-                    'upstream': one.name,
-                    'url': one.url,
-                    'pid': one.child.pid,
+                    'service': upstream.service,
+                    'upstream': upstream.name,
+                    'url': upstream.url,
+                    'pid': upstream.child.pid,
                 }
-                for one in self._upstreams
+                for upstream in self._upstreams
             ],
             'platform': {
                 'url': f'http://{self._platform_address}',
@@ -289,14 +303,14 @@
     def children(self) -> list[Child]:
         """Return all processes, entries first and the platform last."""
         return [
-            *(one.child for one in self._entries),
-            *(one.sidecar for one in self._upstreams),
-            *(one.child for one in self._upstreams),
+            *(entry.child for entry in self._entries),
+            *(upstream.sidecar for upstream in self._upstreams),
+            *(upstream.child for upstream in self._upstreams),
             self._platform,
         ]
 
     def close(self) -> None:
-        """End all processes."""
+        """Send SIGTERM to all processes, and SIGKILL to the rest after 8 s."""
         for child in self.children():
             child.send(signal.SIGCONT)
             child.send(signal.SIGTERM)
@@ -305,40 +319,47 @@
             child.wait(max(0.01, deadline - time.monotonic()))
             child.kill()
         relays = [
-            *(one.relay for one in self._upstreams),
-            *(one.platform_relay for one in self._entries),
+            *(upstream.relay for upstream in self._upstreams),
+            *(entry.platform_relay for entry in self._entries),
         ]
         for relay in filter(None, relays):
             relay.close()
 
-    def _all_connected(self, entry: EntryProcess) -> bool:
+    def _is_fully_connected(self, entry: EntryProcess) -> bool:
         status = self.status(entry)
         if not status or not status['ready']:
             return False
-        serving = [one for one in status['upstreams'] if one['takes_work']]
+        serving = [
+            upstream
+            for upstream in status['upstreams']
+            if upstream['takes_work']
+        ]
         return len(serving) == len(self._upstreams) and all(
-            one['manifest_version'] == status['manifest_version']
-            for one in serving
+            upstream['manifest_version'] == status['manifest_version']
+            for upstream in serving
         )
 
 
 @contextlib.contextmanager
 def running_fleet(plan: FleetPlan) -> Iterator[Fleet]:
-    """Give a fleet that is ready, and end it."""
+    """Yield a fleet that is ready; end its processes afterwards.
+
+    A TimeoutError gets a note with the logs of processes that have failed.
+    """
     with tempfile.TemporaryDirectory(prefix='amaranthrail-') as folder:
         fleet = Fleet(plan, Path(folder))
         try:
             fleet.wait_ready()
             yield fleet
         except TimeoutError as error:
-            error.add_note(fleet.failed_logs())
+            error.add_note(fleet.failed_process_logs())
             raise
         finally:
             fleet.close()
 
 
 def main() -> None:
-    """Run a fleet until told to end."""
+    """Run a fleet until SIGINT or SIGTERM."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument(
         '--deployment',
@@ -348,21 +369,21 @@
     parser.add_argument('--entries', type=int, default=2)
     parser.add_argument('--replicas', type=int)
     parser.add_argument('--services', type=int)
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     plan = FleetPlan(
-        given.deployment,
-        given.entries,
-        given.replicas,
-        given.services,
+        arguments.deployment,
+        arguments.entries,
+        arguments.replicas,
+        arguments.services,
     )
-    told = {signal.SIGINT, signal.SIGTERM}
-    # A shell starts background work with SIGINT ignored.
-    for number in told:
-        signal.signal(number, _interrupt)
+    end_signals = {signal.SIGINT, signal.SIGTERM}
+    # A shell starts background jobs with SIGINT ignored.
+    for signal_number in end_signals:
+        signal.signal(signal_number, _interrupt)
     with contextlib.suppress(KeyboardInterrupt), running_fleet(plan) as fleet:
         sys.stdout.write(f'{json.dumps(fleet.describe())}\n')
         sys.stdout.flush()
-        signal.sigwait(told)
+        signal.sigwait(end_signals)
 
 
 def _interrupt(_number: int, _frame: object) -> None:
--- a/standins/launch.py
+++ b/standins/launch.py
@@ -1,4 +1,4 @@
-"""Start the processes of a local fleet."""
+"""Start entries, upstreams and sidecars of a local fleet as a plan says."""
 
 from __future__ import annotations
 
@@ -20,7 +20,10 @@
 
 @dataclass
 class EntryProcess:
-    """Name an entry's addresses and process."""
+    """Hold an entry's process, its caller URL and its administration address.
+
+    ``platform_relay`` is on its path to the platform, if the plan has one.
+    """
 
     name: str
     url: str
@@ -31,7 +34,11 @@
 
 @dataclass
 class UpstreamProcess:
-    """Name an upstream, its sidecar and their processes."""
+    """Hold an upstream and its sidecar: their addresses and processes.
+
+    ``relay`` is on the path from the entries to the sidecar, if the plan has
+    one. ``group`` and ``rank`` are empty and -1 outside a group.
+    """
 
     name: str
     service: str
@@ -46,12 +53,12 @@
     rank: int = -1
 
     def set_faults(self, **faults: object) -> None:
-        """Set faults of the upstream."""
+        """Inject faults into the upstream, by the names in its control API."""
         http_call(self.url, 'POST', '/control/faults', faults)
 
     @property
     def listed_address(self) -> str:
-        """Return where entries are told to find the sidecar."""
+        """Return the sidecar address that the host list gives to entries."""
         if self.relay is None:
             return self.sidecar_address
         return self.relay.address
@@ -59,7 +66,16 @@
 
 @dataclass
 class FleetPlan:
-    """Say how large a fleet is to be and how its processes are set."""
+    """Describe the size of a fleet and the settings of its processes.
+
+    ``replicas`` and ``services`` count the upstreams of the model service and
+    of the plain service; None takes the deployment's own number. ``policies``
+    are those of the model service, ``slots`` is per upstream and ``token_ms``
+    in milliseconds. ``publish`` publishes the manifest at the start. ``relays``
+    puts a relay before each sidecar but a rank's, ``entry_relays`` one between
+    each entry and the platform. ``ranks`` above 0 adds a group with
+    ``experts`` experts; without ``fencing`` its engines ignore fencing numbers.
+    """
 
     deployment: str = 'valtrebbia'
     entries: int = 2
@@ -80,7 +96,7 @@
 
 
 class Launcher:
-    """Start processes as a plan says."""
+    """Start the processes of a plan, each with ports of its own."""
 
     def __init__(
         self,
@@ -88,7 +104,7 @@
         folder: Path,
         platform_address: str,
     ) -> None:
-        """Take the plan, where logs go, and where the platform listens."""
+        """Set the plan, the folder of the logs and the platform's address."""
         self._plan = plan
         self._folder = folder
         self._platform_address = platform_address
@@ -100,12 +116,12 @@
         arguments: list[str],
         environment: dict[str, str] | None = None,
     ) -> Child:
-        """Start a process whose log takes its name."""
+        """Start a Python module; its output goes to ``NAME.log``."""
         log_path = self._folder / f'{name}.log'
         return Child(arguments, environment or {}, log_path)
 
     def start_upstreams(self) -> list[UpstreamProcess]:
-        """Start the upstreams of both services, each with its sidecar."""
+        """Start the upstreams of both services and a sidecar for each."""
         plan = self._plan
         deployment = self._deployment
         replicas = (
@@ -114,18 +130,18 @@
         services = (
             deployment.services if plan.services is None else plan.services
         )
-        names = [
+        numbered = [
             *((deployment.model, number) for number in range(replicas)),
             *((deployment.plain, number) for number in range(services)),
         ]
-        ports = iter(free_ports(3 * len(names)))
+        ports = iter(free_ports(3 * len(numbered)))
         return [
             self._start_upstream(service, number, ports)
-            for service, number in names
+            for service, number in numbered
         ]
 
     def start_group(self) -> list[UpstreamProcess]:
-        """Start a group of ranks, all in one process as they step as one."""
+        """Start a group of ranks, in one process because they step together."""
         plan = self._plan
         if not plan.ranks:
             return []
@@ -142,14 +158,14 @@
                 *flags,
             ],
         )
-        rest = iter(ports[plan.ranks :])
+        sidecar_ports = iter(ports[plan.ranks :])
         return [
-            self._start_rank(rank, address, child, rest)
+            self._start_rank(rank, address, child, sidecar_ports)
             for rank, address in enumerate(addresses)
         ]
 
     def start_entries(self) -> list[EntryProcess]:
-        """Start the entries."""
+        """Start the entries, distributed over the failure domains."""
         ports = iter(free_ports(2 * self._plan.entries))
         return [
             self._start_entry(number, ports)
@@ -165,7 +181,9 @@
         name = f'{service}-{number}'
         domains = self._deployment.domains
         domain = domains[number % len(domains)]
-        address, peer, admin = (f'{LOOPBACK}:{next(ports)}' for _ in range(3))
+        address, sidecar_address, admin = (
+            f'{LOOPBACK}:{next(ports)}' for _ in range(3)
+        )
         arguments = ['standins.plain', address, name]
         if service == self._deployment.model:
             arguments = [
@@ -174,9 +192,11 @@
                 name,
                 *self._plan.engine_arguments,
             ]
-        settings = self._settings(f'sidecar-{name}', peer, admin, domain)
+        settings = self._settings(
+            f'sidecar-{name}', sidecar_address, admin, domain
+        )
         settings.update(
-            _environment(
+            _to_environment(
                 service=service,
                 upstream=name,
                 upstream_address=address,
@@ -188,7 +208,7 @@
             service,
             domain,
             f'http://{address}',
-            peer,
+            sidecar_address,
             admin,
             self.start(name, arguments),
             self.start(
@@ -196,7 +216,7 @@
                 ['amaranthrail.daemon', 'sidecar'],
                 settings,
             ),
-            Relay(peer) if self._plan.relays else None,
+            Relay(sidecar_address) if self._plan.relays else None,
         )
 
     def _start_rank(
@@ -207,11 +227,13 @@
         ports: Iterator[int],
     ) -> UpstreamProcess:
         name = f'rank-{rank}'
-        peer, admin = (f'{LOOPBACK}:{next(ports)}' for _ in range(2))
+        sidecar_address, admin = (f'{LOOPBACK}:{next(ports)}' for _ in range(2))
         domain = self._deployment.domains[0]
-        settings = self._settings(f'sidecar-{name}', peer, admin, domain)
+        settings = self._settings(
+            f'sidecar-{name}', sidecar_address, admin, domain
+        )
         settings.update(
-            _environment(
+            _to_environment(
                 service=GROUP_SERVICE,
                 upstream=name,
                 upstream_address=address,
@@ -225,7 +247,7 @@
             GROUP_SERVICE,
             domain,
             f'http://{address}',
-            peer,
+            sidecar_address,
             admin,
             child,
             self.start(
@@ -243,11 +265,11 @@
         address, admin = (f'{LOOPBACK}:{next(ports)}' for _ in range(2))
         domain = domains[number % len(domains)]
         settings = self._settings(name, address, admin, domain)
-        settings.update(_environment(**self._plan.entry_settings))
+        settings.update(_to_environment(**self._plan.entry_settings))
         relay: Relay | None = None
         if self._plan.entry_relays:
             relay = Relay(self._platform_address)
-            settings.update(_environment(platform=relay.address))
+            settings.update(_to_environment(platform=relay.address))
         arguments = ['amaranthrail.daemon', 'entry']
         child = self.start(name, arguments, settings)
         return EntryProcess(name, f'http://{address}', admin, child, relay)
@@ -259,7 +281,7 @@
         admin: str,
         domain: str,
     ) -> dict[str, str]:
-        return _environment(
+        return _to_environment(
             name=name,
             listen=listen,
             admin_listen=admin,
@@ -270,7 +292,7 @@
         )
 
 
-def _environment(**settings: str) -> dict[str, str]:
+def _to_environment(**settings: str) -> dict[str, str]:
     return {
         f'AMARANTHRAIL_{name.upper()}': setting
         for name, setting in settings.items()
--- a/standins/tour.py
+++ b/standins/tour.py
@@ -1,4 +1,4 @@
-"""Do the main job on a local fleet and tell what happened.
+"""Demonstrate the main functions on a local fleet and check their results.
 
 Run as ``python -m standins.tour``, or ``make run``.
 """
@@ -14,9 +14,9 @@
 from .launch import EntryProcess, FleetPlan, UpstreamProcess
 
 _DRAFTS = 12
-_FILINGS = 6
+_ORDERS = 6
 _DRAFT_TOKENS = 24
-_DELAY_MS = 3000
+_UPSTREAM_DELAY_MS = 3000
 _TIMELINE_EVENTS = '60'
 _LETTERS = (
     'Please send two cheque books to the tenants of via Roma 4.',
@@ -26,31 +26,31 @@
 
 
 def main() -> None:
-    """Run the tour; exit 1 if a promise did not hold."""
-    began = time.monotonic()
-    _say('Starting the fleet of Valtrebbia at its size of today.')
+    """Run all checks; exit with 1 if one has failed."""
+    started_at = time.monotonic()
+    _print('Starting the Valtrebbia fleet at its present size.')
     with running_fleet(FleetPlan('valtrebbia')) as fleet:
-        took = time.monotonic() - began
-        _say(
-            f'Ready after {took:.1f} s: {len(fleet.entries)} entries, '
+        elapsed_s = time.monotonic() - started_at
+        _print(
+            f'Ready after {elapsed_s:.1f} s: {len(fleet.entries)} entries, '
             f'{len(fleet.upstreams)} upstreams, each with its sidecar.',
         )
-        held = all(
+        passed = all(
             (
-                _draft_letters(fleet),
-                _file_orders(fleet),
-                _repeat_a_filing(fleet),
-                _lose_a_sidecar(fleet),
-                _change_the_manifest(fleet),
+                _stream_drafts(fleet),
+                _send_orders(fleet),
+                _retry_at_other_entry(fleet),
+                _kill_sidecar(fleet),
+                _publish_manifest(fleet),
             )
         )
         _show_timeline(fleet)
-    _say('All processes have ended.')
-    _say('Every promise held.' if held else 'A PROMISE DID NOT HOLD.')
-    sys.exit(0 if held else 1)
+    _print('All processes have exited.')
+    _print('All checks passed.' if passed else 'A CHECK FAILED.')
+    sys.exit(0 if passed else 1)
 
 
-def _say(text: str) -> None:
+def _print(text: str) -> None:
     sys.stdout.write(f'{text}\n')
     sys.stdout.flush()
 
@@ -66,8 +66,8 @@
     return fields
 
 
-def _draft(fleet: Fleet, number: int) -> Response:
-    order = {
+def _request_draft(fleet: Fleet, number: int) -> Response:
+    content = {
         'model': fleet.deployment.model,
         'messages': [
             {'role': 'user', 'content': _LETTERS[number % len(_LETTERS)]},
@@ -79,12 +79,12 @@
         _entry(fleet, number).url,
         'POST',
         '/v1/chat/completions',
-        order,
+        content,
         _headers(fleet),
     )
 
 
-def _file(fleet: Fleet, key: str, number: int = 0) -> Response:
+def _send_order(fleet: Fleet, key: str, number: int = 0) -> Response:
     return http_call(
         _entry(fleet, number).url,
         'POST',
@@ -94,55 +94,59 @@
     )
 
 
-def _draft_letters(fleet: Fleet) -> bool:
+def _stream_drafts(fleet: Fleet) -> bool:
     with ThreadPoolExecutor(_DRAFTS) as pool:
-        drafts = pool.map(lambda number: _draft(fleet, number), range(_DRAFTS))
-        whole = [one.body.endswith(b'data: [DONE]\n\n') for one in drafts]
-    _say(f'Drafts streamed whole: {sum(whole)} of {_DRAFTS}.')
-    return all(whole)
-
-
-def _file_orders(fleet: Fleet) -> bool:
-    keys = [f'tour-{number}' for number in range(_FILINGS)]
-    with ThreadPoolExecutor(_FILINGS) as pool:
-        filed = pool.map(lambda key: _file(fleet, key), keys)
-        statuses = [answer.status for answer in filed]
-    _say(f'Filings answered: {statuses}.')
+        drafts = pool.map(
+            lambda number: _request_draft(fleet, number), range(_DRAFTS)
+        )
+        complete = [
+            draft.body.endswith(b'data: [DONE]\n\n') for draft in drafts
+        ]
+    _print(f'Drafts streamed completely: {sum(complete)} of {_DRAFTS}.')
+    return all(complete)
+
+
+def _send_orders(fleet: Fleet) -> bool:
+    keys = [f'tour-{number}' for number in range(_ORDERS)]
+    with ThreadPoolExecutor(_ORDERS) as pool:
+        responses = pool.map(lambda key: _send_order(fleet, key), keys)
+        statuses = [response.status for response in responses]
+    _print(f'Keyed requests got statuses {statuses}.')
     return all(status == 200 for status in statuses)
 
 
-def _repeat_a_filing(fleet: Fleet) -> bool:
-    again = _file(fleet, 'tour-0', number=1)
-    ran = _count_runs(fleet, 'tour-0')
-    _say(
-        'One filing repeated with its key at the other entry: '
-        f'{again.status}, the same answer; it ran {ran} time(s).',
+def _retry_at_other_entry(fleet: Fleet) -> bool:
+    retry = _send_order(fleet, 'tour-0', number=1)
+    runs = _count_runs(fleet, 'tour-0')
+    _print(
+        'One keyed request retried with its key at the other entry: '
+        f'status {retry.status}; it ran {runs} time(s).',
     )
-    return again.status == 200 and ran == 1
+    return retry.status == 200 and runs == 1
 
 
 def _count_runs(fleet: Fleet, key: str) -> int:
     return sum(run['key'] == key for run in fleet.runs('sportello'))
 
 
-def _lose_a_sidecar(fleet: Fleet) -> bool:
+def _kill_sidecar(fleet: Fleet) -> bool:
     key = 'tour-lost'
-    for one in fleet.upstreams_of('sportello'):
-        one.set_faults(delay_ms=_DELAY_MS)
+    for upstream in fleet.upstreams_of('sportello'):
+        upstream.set_faults(delay_ms=_UPSTREAM_DELAY_MS)
     with ThreadPoolExecutor(1) as pool:
-        filing = pool.submit(_file, fleet, key)
+        order = pool.submit(_send_order, fleet, key)
         wait_until(lambda: _count_runs(fleet, key))
-        victim = _running_upstream(fleet, key)
+        victim = _upstream_of_run(fleet, key)
         victim.sidecar.kill()
-        answer = _outcome(filing)
+        response = _wait_response(order)
     victim.sidecar.restart()
-    for one in fleet.upstreams_of('sportello'):
-        one.set_faults(delay_ms=0)
+    for upstream in fleet.upstreams_of('sportello'):
+        upstream.set_faults(delay_ms=0)
     listed = fleet.run_command('lost', 'list').stdout.decode()
-    _say(
-        f'The sidecar of {victim.name} was killed during a filing: the caller '
-        f'was told {answer.status}, outcome {answer.headers["x-outcome"]}. '
-        f'The lost list:\n{listed}',
+    _print(
+        f'The sidecar of {victim.name} was killed during a keyed request: the '
+        f'caller got {response.status}, outcome '
+        f'{response.headers["x-outcome"]}. The lost list:\n{listed}',
     )
     resolved = fleet.run_command(
         'lost',
@@ -150,37 +154,37 @@
         f'organisation-01/{key}',
         'ran',
     )
-    _say(f'An operator looked it up and resolved it: {_text(resolved.stdout)}')
+    _print(f'An operator resolved it as ran: {_text(resolved.stdout)}')
     return key in listed and _count_runs(fleet, key) == 1
 
 
-def _outcome(filing: Future[Response]) -> Response:
-    return filing.result()
+def _wait_response(order: Future[Response]) -> Response:
+    return order.result()
 
 
-def _running_upstream(fleet: Fleet, key: str) -> UpstreamProcess:
+def _upstream_of_run(fleet: Fleet, key: str) -> UpstreamProcess:
     return next(
-        one
-        for one in fleet.upstreams_of('sportello')
-        for run in http_call(one.url, 'GET', '/control/runs').json()
+        upstream
+        for upstream in fleet.upstreams_of('sportello')
+        for run in http_call(upstream.url, 'GET', '/control/runs').json()
         if run['key'] == key
     )
 
 
-def _change_the_manifest(fleet: Fleet) -> bool:
+def _publish_manifest(fleet: Fleet) -> bool:
     manifest = fleet.manifest()
     manifest['limits'] = {'retry_share': 0.05}
-    began = time.monotonic()
+    started_at = time.monotonic()
     published = fleet.publish(manifest)
     version = published.json()['version']
     wait_until(lambda: _in_force_everywhere(fleet, version))
-    took = time.monotonic() - began
-    _say(
+    elapsed_s = time.monotonic() - started_at
+    _print(
         f'Manifest version {version} was accepted and is in force at every '
-        f'entry and sidecar, {took:.1f} s after "publish" was typed.',
+        f'entry and sidecar, {elapsed_s:.1f} s after "publish" was run.',
     )
     stale = fleet.publish(manifest, '--base', '1')
-    _say(f'Another change from version 1: {stale.json()["reason"]}.')
+    _print(f'Result of a change based on version 1: {stale.json()["reason"]}.')
     return published.status == 0 and stale.json()['state'] == 'refused'
 
 
@@ -190,7 +194,8 @@
         status
         and status['manifest_version'] == version
         and all(
-            one['manifest_version'] == version for one in status['upstreams']
+            upstream['manifest_version'] == version
+            for upstream in status['upstreams']
         )
         for status in statuses
     )
@@ -198,7 +203,9 @@
 
 def _show_timeline(fleet: Fleet) -> None:
     shown = fleet.run_command('timeline', '--last', _TIMELINE_EVENTS)
-    _say(f'The latest events of all processes:\n{_text(shown.stdout)}')
+    _print(
+        f'The latest timeline events of all processes:\n{_text(shown.stdout)}'
+    )
 
 
 def _text(output: bytes) -> str:
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -65,7 +65,7 @@
 
 def _restart_entry(fleet: Fleet) -> None:
     fleet.entries[0].child.restart()
-    fleet.wait_entry_answers(fleet.entries[0])
+    fleet.wait_entry_responds(fleet.entries[0])
 
 
 def _platform(**faults: object) -> Act:
