--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Run entries as processes, disturb them from outside and check promises."""
+"""Run entry processes under random faults and check their guarantees."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Soak entries with random faults: ``python -m soak --seeds 50``."""
+"""Run soak tests with random faults: ``python -m soak --seeds 50``."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 from standins.platformfleet import platform_fleet
 
 from .callers import Caller
-from .plan import make_plan
-from .promises import Evidence, broken_promises
-from .world import World
+from .invariants import Observations, find_violations
+from .schedule import schedule_faults
+from .testbed import Testbed
 
-#: Seeds that have failed once, with what it was; they go first.
+#: Seeds that have failed once, with the cause; they run first.
 FAILED_SEEDS = Path(__file__).with_name('failed_seeds.txt')
-#: Time after all faults until calls must be served again, and for which they
-#: are watched, in seconds.
+#: Time after the last fault until calls must be served again, and time for
+#: which they are then checked, in seconds.
 RECOVERY_S = 6.0
-WATCHED_S = 2.0
+RECOVERY_CHECK_S = 2.0
 MAX_SEED = 1_000_000
 _app = typer.Typer()
 
 
 @dataclass(frozen=True, slots=True)
-class Size:
-    """Say how long faults come and how many take part."""
+class RunSize:
+    """Hold the duration of the faults in seconds, and the process counts."""
 
     seconds: float = 12
     entries: int = 3
@@ -39,34 +39,38 @@
     callers: int = 8
 
 
-async def soak_once(seed: int, size: Size) -> Evidence:
-    """Return what one run gave."""
+async def soak_once(seed: int, size: RunSize) -> Observations:
+    """Run one seed; return what was observed."""
     async with platform_fleet() as fleet, trio.open_nursery() as nursery:
-        world = World(fleet, nursery)
-        await world.start(size.entries, size.replicas)
-        hosts = [entry.host for entry in world.entries]
-        callers = [Caller(one, seed, hosts) for one in range(size.callers)]
+        testbed = Testbed(fleet, nursery)
+        await testbed.start(size.entries, size.replicas)
+        hosts = [entry.host for entry in testbed.entries]
+        callers = [
+            Caller(number, seed, hosts) for number in range(size.callers)
+        ]
         for caller in callers:
             caller.start()
-        await world.play(make_plan(seed, size.seconds))
-        await world.settle()
+        await testbed.inject_faults(schedule_faults(seed, size.seconds))
+        await testbed.wait_ready()
         await trio.sleep(RECOVERY_S)
-        world.evidence.calm_from = time.time()
-        await trio.sleep(WATCHED_S)
-        await _end(callers, world.evidence)
-        await world.note_versions()
-        world.close()
+        testbed.observations.recovered_from = time.time()
+        await trio.sleep(RECOVERY_CHECK_S)
+        await _stop_callers(callers, testbed.observations)
+        await testbed.check_versions()
+        testbed.close()
         nursery.cancel_scope.cancel()
-    return world.evidence
+    return testbed.observations
 
 
-async def _end(callers: list[Caller], evidence: Evidence) -> None:
-    """Stop the callers and take in what they saw."""
+async def _stop_callers(
+    callers: list[Caller], observations: Observations
+) -> None:
+    """Stop the callers and collect their records."""
     for caller in callers:
         caller.stop()
     for caller in callers:
         await trio.to_thread.run_sync(caller.join)
-        evidence.seen.extend(caller.seen)
+        observations.calls.extend(caller.calls)
 
 
 @_app.command()
@@ -78,40 +82,42 @@
     replicas: Annotated[int, typer.Option(help='Replicas.')] = 6,
     callers: Annotated[int, typer.Option(help='Callers at a time.')] = 8,
 ) -> None:
-    """Run failed and fresh seeds; fail where a promise was broken."""
-    size = Size(seconds, entries, replicas, callers)
+    """Run failed and fresh seeds; exit with 1 if a guarantee was violated."""
+    size = RunSize(seconds, entries, replicas, callers)
     start = first or random.SystemRandom().randrange(1, MAX_SEED)
-    chosen = [*failed_seeds(), *range(start, start + seeds)]
-    broken = 0
-    for seed in chosen:
-        evidence = trio.run(soak_once, seed, size)
-        broken += _tell(seed, size, evidence)
-    sys.stdout.write(f'{len(chosen)} seeds, {broken} with a broken promise\n')
-    sys.exit(bool(broken))
+    selected = [*failed_seeds(), *range(start, start + seeds)]
+    failed_count = 0
+    for seed in selected:
+        observations = trio.run(soak_once, seed, size)
+        failed_count += _print_result(seed, size, observations)
+    sys.stdout.write(
+        f'{len(selected)} seeds, {failed_count} with a broken promise\n'
+    )
+    sys.exit(bool(failed_count))
 
 
 def failed_seeds() -> list[int]:
-    """Return the seeds that are kept as regression cases."""
+    """Read the seeds that are kept as regression cases."""
     lines = FAILED_SEEDS.read_text().splitlines()
-    kept = (line.partition(' ')[0] for line in lines)
-    return [int(seed) for seed in kept if seed.isdecimal()]
+    first_words = (line.partition(' ')[0] for line in lines)
+    return [int(seed) for seed in first_words if seed.isdecimal()]
 
 
-def _tell(seed: int, size: Size, evidence: Evidence) -> bool:
-    """Write what became of a seed; tell whether a promise was broken."""
-    sentences = broken_promises(evidence)
-    steps = make_plan(seed, size.seconds)
-    calls = len(evidence.seen)
-    served = sum(one.complete for one in evidence.seen)
+def _print_result(seed: int, size: RunSize, observations: Observations) -> bool:
+    """Print the result of a seed; return whether a guarantee was violated."""
+    violations = find_violations(observations)
+    faults = schedule_faults(seed, size.seconds)
+    call_count = len(observations.calls)
+    served = sum(call.complete for call in observations.calls)
     sys.stdout.write(
-        f'seed {seed}: {len(steps)} faults, {calls} calls, '
-        f'{served} answered, {len(sentences)} promises broken\n',
+        f'seed {seed}: {len(faults)} faults, {call_count} calls, '
+        f'{served} answered, {len(violations)} promises broken\n',
     )
-    details = [*sentences, *map(str, steps)] if sentences else []
+    details = [*violations, *map(str, faults)] if violations else []
     for line in details:
         sys.stdout.write(f'  {line}\n')
     sys.stdout.flush()
-    return bool(sentences)
+    return bool(violations)
 
 
 if __name__ == '__main__':
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Call entries as clients do and keep what they saw."""
+"""Call entries as clients do and record the responses."""
 
 from __future__ import annotations
 
@@ -13,16 +13,17 @@
 
 from standins.replica import STREAM_EVENTS
 
-#: Time that a caller gives a call, and its socket beyond that, in seconds.
-PATIENCE_S = 3.0
+#: Deadline that a caller gives a call, and the longer timeout of its socket, in
+#: seconds.
+CALL_DEADLINE_S = 3.0
 SOCKET_TIMEOUT_S = 6.0
-#: Pause of a caller between two calls, in seconds.
-PAUSE_S = 0.02
+#: Longest pause of a caller between two calls, in seconds.
+MAX_PAUSE_S = 0.02
 _PORT = 8227
 
 
-class Kind(Enum):
-    """Name a kind of call; its route has the same name."""
+class CallKind(Enum):
+    """Name a kind of call; the configuration has a route of the same name."""
 
     STREAM = 'stream'
     READ = 'read'
@@ -30,16 +31,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """Hold what became of one call, times in seconds of the wall clock.
+class CallRecord:
+    """Record one call, with times in seconds of the wall clock.
 
-    ``status`` is 0 where the connection ended without an answer.
+    ``status`` is 0 where the connection ended without a response; ``signature``
+    is the replica signature.
     """
 
     attempt: str
-    kind: Kind
+    kind: CallKind
     host: str
-    began_at: float
+    started_at: float
     ended_at: float
     status: int
     body: bytes = b''
@@ -48,36 +50,36 @@
 
 
 class Caller(threading.Thread):
-    """Make calls one after the other, on an open connection while it lasts."""
+    """Make calls one after the other, on persistent connections."""
 
     def __init__(self, number: int, seed: int, hosts: list[str]) -> None:
-        """Take the caller's number, the run's seed and the entries' hosts."""
+        """Set the caller's number, the run's seed and the entries' hosts."""
         super().__init__(daemon=True)
         self._number = number
         self._random = random.Random(seed * 1000 + number)
         self._hosts = hosts
         self._stopping = threading.Event()
         self._connections: dict[str, client.HTTPConnection] = {}
-        self.seen: list[Seen] = []
+        self.calls: list[CallRecord] = []
 
     def stop(self) -> None:
-        """End after the call in progress."""
+        """End the thread after the call in progress."""
         self._stopping.set()
 
     def run(self) -> None:
-        """Call until told to stop."""
-        for count in itertools.count():
+        """Make random calls until ``stop`` is called."""
+        for call_number in itertools.count():
             if self._stopping.is_set():
                 break
-            attempt = f'c{self._number}-{count}'
-            kind = self._random.choice(list(Kind))
+            attempt = f'c{self._number}-{call_number}'
+            kind = self._random.choice(list(CallKind))
             host = self._random.choice(self._hosts)
-            self.seen.append(self._call(attempt, kind, host))
-            time.sleep(PAUSE_S * self._random.random())
+            self.calls.append(self._call(attempt, kind, host))
+            time.sleep(MAX_PAUSE_S * self._random.random())
         for connection in self._connections.values():
             connection.close()
 
-    def _call(self, attempt: str, kind: Kind, host: str) -> Seen:
+    def _call(self, attempt: str, kind: CallKind, host: str) -> CallRecord:
         connection = self._connections.pop(host, None)
         if connection is None:
             connection = client.HTTPConnection(
@@ -85,32 +87,32 @@
                 _PORT,
                 timeout=SOCKET_TIMEOUT_S,
             )
-        began_at = time.time()
+        started_at = time.time()
         status = 0
         signature = ''
         body = b''
         complete = False
-        keep = False
+        reusable = False
         with contextlib.suppress(OSError, client.HTTPException):
             connection.request(
-                'GET' if kind is Kind.READ else 'POST',
+                'GET' if kind is CallKind.READ else 'POST',
                 f'/{kind.value}/{attempt}',
                 headers=_headers(attempt),
             )
-            answer = connection.getresponse()
-            status = answer.status
-            signature = answer.headers.get('replica-signature', '')
-            body, complete = _read(answer)
-            keep = complete and not answer.will_close
-        if keep:
+            response = connection.getresponse()
+            status = response.status
+            signature = response.headers.get('replica-signature', '')
+            body, complete = _read_body(response)
+            reusable = complete and not response.will_close
+        if reusable:
             self._connections[host] = connection
         else:
             connection.close()
-        return Seen(
+        return CallRecord(
             attempt,
             kind,
             host,
-            began_at,
+            started_at,
             time.time(),
             status,
             body,
@@ -119,15 +121,15 @@
         )
 
 
-def expected_body(kind: Kind, attempt: str, signature: str) -> bytes:
-    """Return the body that the replica of a signature gives a call."""
-    if kind is Kind.STREAM:
+def expected_body(kind: CallKind, attempt: str, signature: str) -> bytes:
+    """Return the body that the replica of a signature sends for a call."""
+    if kind is CallKind.STREAM:
         return b''.join(
             f'id: {number}\ndata: {number}\n\n'.encode()
             for number in range(1, STREAM_EVENTS + 1)
         )
-    name = signature.removeprefix('signed-')
-    return f'{name} did /{kind.value}/{attempt}'.encode()
+    replica = signature.removeprefix('signed-')
+    return f'{replica} did /{kind.value}/{attempt}'.encode()
 
 
 def _headers(attempt: str) -> dict[str, str]:
@@ -135,14 +137,14 @@
         'Host': 'h.example',
         'Attempt-Id': attempt,
         'Authorization': 'Token key-1',
-        'Deadline-Remaining-Ms': str(int(PATIENCE_S * 1000)),
+        'Deadline-Remaining-Ms': str(int(CALL_DEADLINE_S * 1000)),
     }
 
 
-def _read(answer: client.HTTPResponse) -> tuple[bytes, bool]:
-    """Return an answer's body and whether it is complete."""
+def _read_body(response: client.HTTPResponse) -> tuple[bytes, bool]:
+    """Return a response's body and whether it is complete."""
     try:
-        return answer.read(), True
+        return response.read(), True
     except client.IncompleteRead as error:
         return error.partial, False
     except OSError:
--- /dev/null
+++ b/soak/invariants.py
@@ -0,0 +1,245 @@
+"""Check the guarantees of the entries against what a soak run observed."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Iterable, Iterator, Sequence
+from dataclasses import dataclass, field
+
+from .callers import CallKind, CallRecord, expected_body
+
+_FIRST_FAILURE = 300
+_HTTP_OK = 200
+#: Statuses that say that a call has not been executed and never will be.
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
+#: Time after its announcement from which a draining replica must get no new
+#: calls, in seconds.
+DRAIN_GRACE_S = 2.0
+#: Time for which no fault may have been present before an event for a
+#: guarantee with a time bound to hold, in seconds.
+FAULT_FREE_S = 3.0
+#: Subjects of faults that are not one entry or one replica.
+STORE = ''
+ALL_PROCESSES = 'everyone'
+#: Share of the last calls that must be served, after all faults.
+MIN_SERVED_SHARE_AT_END = 0.9
+
+
+@dataclass(frozen=True, slots=True)
+class Execution:
+    """Record that a replica started to execute a call.
+
+    ``started_at`` is in seconds of the wall clock.
+    """
+
+    attempt: str
+    path: str
+    replica: str
+    started_at: float
+    organisation: str
+
+
+@dataclass(frozen=True, slots=True)
+class Interval:
+    """Hold a period in seconds of the wall clock, and what it concerns.
+
+    ``subject`` is a host, a replica, STORE or ALL_PROCESSES.
+    """
+
+    starts_at: float
+    ends_at: float
+    subject: str = ''
+
+    def overlaps(self, starts_at: float, ends_at: float) -> bool:
+        """Tell whether the period overlaps with another, ends included."""
+        return self.starts_at <= ends_at and starts_at <= self.ends_at
+
+
+@dataclass
+class Observations:
+    """Collect what the checks of a run need.
+
+    ``unplanned_faults`` has each fault that excuses failures, by the host or
+    replica that it hit, or STORE or ALL_PROCESSES; ``drains`` the replicas that
+    announced that they drain; ``shutdowns`` the entries that got SIGTERM;
+    ``outdated_entries`` those that do not serve the newest configuration at
+    the end. Calls from ``recovered_from`` on must be served.
+    """
+
+    calls: list[CallRecord] = field(default_factory=list)
+    executions: list[Execution] = field(default_factory=list)
+    unplanned_faults: list[Interval] = field(default_factory=list)
+    drains: list[Interval] = field(default_factory=list)
+    shutdowns: list[Interval] = field(default_factory=list)
+    recovered_from: float = 0
+    unready_entries: list[str] = field(default_factory=list)
+    outdated_entries: list[str] = field(default_factory=list)
+    faults_without_effect: list[str] = field(default_factory=list)
+
+
+def find_violations(observations: Observations) -> list[str]:
+    """Return a sentence for each violation of a guarantee."""
+    return [
+        *_wrong_responses(observations.calls),
+        *_repeated_executions(observations),
+        *_false_refusals(observations),
+        *_unrequested_executions(observations),
+        *_executions_after_drain(observations),
+        *_calls_cut_by_shutdown(observations),
+        *_missing_recovery(observations),
+        *(
+            f'fault had no effect: {fault}'
+            for fault in observations.faults_without_effect
+        ),
+    ]
+
+
+def _wrong_responses(calls: Sequence[CallRecord]) -> Iterator[str]:
+    for call in calls:
+        if (
+            not call.complete
+            or call.status >= _FIRST_FAILURE
+            or not call.status
+        ):
+            continue
+        expected = expected_body(call.kind, call.attempt, call.signature)
+        if not call.signature or call.body != expected:
+            yield f'{call.attempt} got a successful response not its own'
+
+
+def _repeated_executions(observations: Observations) -> Iterator[str]:
+    run_counts = Counter(
+        execution.attempt
+        for execution in observations.executions
+        if _kind_of(execution) is CallKind.BOOK
+    )
+    for attempt, times in run_counts.items():
+        if times > 1:
+            yield f'{attempt} ran {times} times'
+
+
+def _false_refusals(observations: Observations) -> Iterator[str]:
+    executed = {
+        execution.attempt
+        for execution in observations.executions
+        if _kind_of(execution) is CallKind.BOOK
+    }
+    for call in observations.calls:
+        if call.status in NOT_RUN_STATUSES and call.attempt in executed:
+            yield f'{call.attempt} got {call.status} and ran'
+
+
+def _unrequested_executions(observations: Observations) -> Iterator[str]:
+    kinds = {call.attempt: call.kind for call in observations.calls}
+    for execution in observations.executions:
+        kind = kinds.get(execution.attempt)
+        if (
+            kind is None
+            or execution.path != f'/{kind.value}/{execution.attempt}'
+        ):
+            yield (
+                f'{execution.replica} ran {execution.path}, which no caller '
+                'requested'
+            )
+        elif execution.organisation != 'band':
+            yield f'{execution.attempt} ran for {execution.organisation!r}'
+
+
+def _executions_after_drain(observations: Observations) -> Iterator[str]:
+    hosts = {call.attempt: call.host for call in observations.calls}
+    for drain in observations.drains:
+        for execution in _late_executions(observations.executions, drain):
+            subjects = (
+                STORE,
+                ALL_PROCESSES,
+                hosts.get(execution.attempt, ''),
+            )
+            since = drain.starts_at - FAULT_FREE_S
+            if not _is_disturbed(
+                observations, since, execution.started_at, subjects
+            ):
+                yield (
+                    f'{execution.attempt} reached {execution.replica} after '
+                    'its drain'
+                )
+
+
+def _late_executions(
+    executions: Iterable[Execution], drain: Interval
+) -> Iterator[Execution]:
+    """Yield what a draining replica started after its grace period."""
+    for execution in executions:
+        is_late = (
+            drain.starts_at + DRAIN_GRACE_S
+            < execution.started_at
+            <= drain.ends_at
+        )
+        if execution.replica == drain.subject and is_late:
+            yield execution
+
+
+def _calls_cut_by_shutdown(observations: Observations) -> Iterator[str]:
+    """Report calls that an entry cut off after SIGTERM without a fault."""
+    replicas = {
+        execution.attempt: execution.replica
+        for execution in observations.executions
+    }
+    for call in observations.calls:
+        replica = replicas.get(call.attempt)
+        if (
+            call.complete
+            or replica is None
+            or not _overlaps_shutdown(observations, call)
+        ):
+            continue
+        since = call.started_at - FAULT_FREE_S
+        subjects = (call.host, replica, ALL_PROCESSES)
+        if not _is_disturbed(observations, since, call.ended_at, subjects):
+            yield f'{call.attempt} was cut off as {call.host} shut down'
+
+
+def _overlaps_shutdown(observations: Observations, call: CallRecord) -> bool:
+    """Tell whether a call's entry was shutting down during the call."""
+    return any(
+        shutdown.subject == call.host
+        and shutdown.overlaps(call.started_at, call.ended_at)
+        for shutdown in observations.shutdowns
+    )
+
+
+def _missing_recovery(observations: Observations) -> Iterator[str]:
+    for host in observations.unready_entries:
+        yield f'{host} is not ready after all faults'
+    last_calls = [
+        call
+        for call in observations.calls
+        if call.started_at > observations.recovered_from
+    ]
+    served = sum(
+        call.status == _HTTP_OK and call.complete for call in last_calls
+    )
+    if not last_calls or served < MIN_SERVED_SHARE_AT_END * len(last_calls):
+        yield f'{served} of {len(last_calls)} calls are served after all faults'
+    for outdated_host in observations.outdated_entries:
+        yield (
+            f'{outdated_host} does not serve the newest configuration at the '
+            'end'
+        )
+
+
+def _is_disturbed(
+    observations: Observations,
+    starts_at: float,
+    ends_at: float,
+    subjects: Iterable[str],
+) -> bool:
+    """Tell whether a fault hit any of these subjects during a period."""
+    names = frozenset(subjects)
+    return any(
+        fault.subject in names and fault.overlaps(starts_at, ends_at)
+        for fault in observations.unplanned_faults
+    )
+
+
+def _kind_of(execution: Execution) -> CallKind:
+    return CallKind(execution.path.split('/')[1])
--- /dev/null
+++ b/soak/schedule.py
@@ -0,0 +1,87 @@
+"""Draw the faults of one soak run from its seed."""
+
+from __future__ import annotations
+
+import random
+from dataclasses import dataclass
+from enum import Enum
+
+#: Mean number of faults that start in a second; most last longer, so they
+#: overlap.
+FAULTS_PER_S = 0.9
+#: Time without faults at the start of a run, in seconds.
+FAULT_FREE_START_S = 1.0
+#: Shortest and longest duration of a fault, in seconds.
+MIN_FAULT_S = 0.3
+MAX_FAULT_S = 3.0
+
+
+class Fault(Enum):
+    """Name a fault of an entry, the store, a replica or a network path.
+
+    The last part of a path fault's value selects its effect.
+    """
+
+    ENTRY_KILLED = 'entry-killed'
+    ENTRY_PAUSED = 'entry-paused'
+    ENTRY_SHUT_DOWN = 'entry-told-to-leave'
+    ENTRY_RELOADED = 'entry-reloaded'
+    ALL_ENTRIES_KILLED = 'all-entries-killed'
+    STORE_REFUSING = 'store-refusing'
+    STORE_SILENT = 'store-silent'
+    STORE_BUSY = 'store-busy'
+    STORE_MALFORMED = 'store-malformed'
+    STORE_COMPACTED = 'store-forgets'
+    STORE_PATH_SLOW = 'store-path-slow'
+    STORE_PATH_RESET = 'store-path-reset'
+    STORE_PATH_BLACKHOLED = 'store-path-silenced'
+    STORE_PATH_REPLIES_BLACKHOLED = 'store-path-deaf'
+    REPLICA_SHEDDING = 'replica-shedding'
+    REPLICA_FAILING = 'replica-failing'
+    REPLICA_TRUNCATING = 'replica-cutting'
+    REPLICA_TRUNCATING_IN_EVENT = 'replica-cutting-in-event'
+    REPLICA_UNRESPONSIVE = 'replica-mute'
+    REPLICA_WRONG_ATTEMPT_ID = 'replica-crossed'
+    REPLICA_UNSIGNED = 'replica-unsigned'
+    REPLICA_ENCODED = 'replica-encoded'
+    REPLICA_PATH_SLOW = 'replica-path-slow'
+    REPLICA_PATH_RESET = 'replica-path-reset'
+    REPLICA_PATH_BLACKHOLED = 'replica-path-silenced'
+    REPLICA_PATH_REPLIES_BLACKHOLED = 'replica-path-deaf'
+    REPLICA_DRAINED = 'replica-leaves'
+    REPLICA_REPLACED = 'replica-replaced'
+    CONFIGURATION_CHANGED = 'configuration-changed'
+
+
+@dataclass(frozen=True, slots=True)
+class ScheduledFault:
+    """Hold one fault, its times in seconds since the start, and its target.
+
+    ``target`` is taken modulo the number of entries or replicas.
+    """
+
+    starts_s: float
+    duration_s: float
+    fault: Fault
+    target: int
+
+    @property
+    def ends_s(self) -> float:
+        """Return the time at which the fault ends."""
+        return self.starts_s + self.duration_s
+
+
+def schedule_faults(seed: int, seconds: float) -> tuple[ScheduledFault, ...]:
+    """Return the faults of a run of ``seconds``, sorted by start time."""
+    generator = random.Random(seed)
+    last_start_s = max(FAULT_FREE_START_S, seconds - MAX_FAULT_S)
+    faults = [
+        ScheduledFault(
+            generator.uniform(FAULT_FREE_START_S, last_start_s),
+            generator.uniform(MIN_FAULT_S, MAX_FAULT_S),
+            generator.choice(list(Fault)),
+            generator.randrange(1000),
+        )
+        for _ in range(max(1, round(FAULTS_PER_S * seconds)))
+    ]
+    return tuple(sorted(faults, key=lambda scheduled: scheduled.starts_s))
--- /dev/null
+++ b/soak/testbed.py
@@ -0,0 +1,401 @@
+"""Run the processes of one soak run and inject its faults."""
+
+from __future__ import annotations
+
+import signal
+import sys
+import time
+from collections import defaultdict
+from collections.abc import Callable
+from dataclasses import dataclass
+from types import MappingProxyType
+
+import trio
+
+from amaranthrail.adapters.httpclient import Address, parse_address
+from amaranthrail.adapters.httpserver import HttpRequest, Reply
+from amaranthrail.exceptions import HttpError
+from standins.calling import is_listening
+from standins.keyedlog import StoreFault
+from standins.platformfleet import (
+    EntryProcess,
+    PlatformFleet,
+    make_configuration,
+    start_server,
+)
+from standins.relay import Relay
+from standins.replica import Behaviour, Replica
+
+from .invariants import (
+    ALL_PROCESSES,
+    DRAIN_GRACE_S,
+    FAULT_FREE_S,
+    STORE,
+    Execution,
+    Interval,
+    Observations,
+)
+from .schedule import Fault, ScheduledFault
+
+_HTTP_OK = 200
+#: Delay of a slow path, in ms: longer than the pause of most streams.
+PATH_DELAY_MS = 150.0
+#: Time after which a killed entry is restarted, in seconds.
+RESTART_DELAY_S = 0.2
+#: Longest graceful shutdown of an entry before it counts as stuck and is
+#: killed, in seconds.
+SHUTDOWN_TIMEOUT_S = 8.0
+#: Longest time by which a fault is extended until it has had an effect, in
+#: seconds.
+MAX_EXTENSION_S = 4.0
+#: Time that a replica takes for a call and between two events, in seconds.
+REPLICA_PAUSE_S = 0.01
+#: Planned operations: they excuse no call that ends without a response.
+_PLANNED_OPERATIONS = frozenset(
+    (
+        Fault.ENTRY_SHUT_DOWN,
+        Fault.ENTRY_RELOADED,
+        Fault.REPLICA_DRAINED,
+        Fault.CONFIGURATION_CHANGED,
+    ),
+)
+_STORE_FAULTS = MappingProxyType(
+    {
+        Fault.STORE_REFUSING: StoreFault.REFUSING,
+        Fault.STORE_SILENT: StoreFault.SILENT,
+        Fault.STORE_BUSY: StoreFault.BUSY,
+        Fault.STORE_MALFORMED: StoreFault.MALFORMED,
+    }
+)
+_BEHAVIOURS = MappingProxyType(
+    {
+        Fault.REPLICA_SHEDDING: Behaviour.SHEDDING,
+        Fault.REPLICA_FAILING: Behaviour.FAILING,
+        Fault.REPLICA_TRUNCATING: Behaviour.TRUNCATING,
+        Fault.REPLICA_TRUNCATING_IN_EVENT: Behaviour.TRUNCATING_IN_EVENT,
+        Fault.REPLICA_UNRESPONSIVE: Behaviour.UNRESPONSIVE,
+        Fault.REPLICA_WRONG_ATTEMPT_ID: Behaviour.WRONG_ATTEMPT_ID,
+        Fault.REPLICA_UNSIGNED: Behaviour.UNSIGNED,
+        Fault.REPLICA_ENCODED: Behaviour.ENCODED,
+    }
+)
+
+
+EffectCheck = Callable[[], bool]
+
+
+@dataclass
+class ReplicaHost:
+    """Hold the current replica at an address, its service and its relay."""
+
+    service: str
+    replica: Replica
+    relay: Relay
+
+
+class Testbed:
+    """Run the entries and stand-ins of a run, and inject faults into them."""
+
+    def __init__(self, fleet: PlatformFleet, nursery: trio.Nursery) -> None:
+        """Set the fleet, and put a relay between the entries and its store."""
+        self._fleet = fleet
+        self._nursery = nursery
+        self._store_relay = Relay(str(fleet.store_address))
+        fleet.store_address = _address(self._store_relay)
+        self._hosts: list[ReplicaHost] = []
+        self._replica_count = 0
+        self._version = 1
+        self._locks: defaultdict[str, trio.Lock] = defaultdict(trio.Lock)
+        self.observations = Observations()
+
+    @property
+    def entries(self) -> list[EntryProcess]:
+        """Return the entry processes of the fleet."""
+        return self._fleet.entries
+
+    async def start(self, entries: int, replicas: int) -> None:
+        """Start replicas and entries; wait until the entries are ready."""
+        for number in range(replicas):
+            service = 'plain' if number % 3 == 0 else 'engine'
+            await self._add_replica_host(service)
+        for _ in range(entries):
+            self._fleet.add_entry()
+        for entry in self.entries:
+            await entry.until_ready()
+
+    def close(self) -> None:
+        """Close all relays."""
+        self._store_relay.close()
+        for host in self._hosts:
+            host.relay.close()
+
+    async def inject_faults(self, faults: tuple[ScheduledFault, ...]) -> None:
+        """Inject the faults at their times; return when all have ended."""
+        started_at = trio.current_time()
+        async with trio.open_nursery() as nursery:
+            for scheduled in faults:
+                await trio.sleep_until(started_at + scheduled.starts_s)
+                nursery.start_soon(self._inject_and_record, scheduled)
+
+    async def wait_ready(self) -> None:
+        """Wait until all entries are ready; record those that time out."""
+        for entry in self.entries:
+            try:
+                await entry.until_ready()
+            except trio.TooSlowError:
+                self.observations.unready_entries.append(entry.host)
+
+    async def check_versions(self) -> None:
+        """Call the route that only the newest version has at each entry."""
+        for host in self._hosts:
+            host.replica.record_run = None
+        for entry in self.entries:
+            if not await self._serves_newest(entry):
+                self.observations.outdated_entries.append(entry.host)
+
+    async def _serves_newest(self, entry: EntryProcess) -> bool:
+        path = f'/v{self._version}/soak'
+        try:
+            response = await entry.call('GET', path, f'version-{entry.host}')
+        except HttpError as error:
+            sys.stderr.write(f'{entry.host} did not respond: {error}\n')
+            return False
+        return response.status == _HTTP_OK
+
+    async def _add_replica_host(self, service: str) -> None:
+        replica = self._make_replica()
+
+        async def handle(request: HttpRequest, reply: Reply) -> None:
+            await host.replica.handle(request, reply)
+
+        address = await start_server(self._nursery, handle)
+        host = ReplicaHost(service, replica, Relay(str(address)))
+        self._hosts.append(host)
+        self._write_record(host)
+
+    def _make_replica(self) -> Replica:
+        self._replica_count += 1
+        name = f'r{self._replica_count}'
+        return Replica(
+            name, pause_s=REPLICA_PAUSE_S, record_run=self._record_run
+        )
+
+    def _record_run(self, name: str, request: HttpRequest) -> None:
+        self.observations.executions.append(
+            Execution(
+                request.header('attempt-id') or '',
+                request.path,
+                name,
+                time.time(),
+                request.header('tenant') or '',
+            ),
+        )
+
+    def _write_record(self, host: ReplicaHost, **changes: object) -> None:
+        self._fleet.write_replica_record(
+            host.replica.name,
+            host.service,
+            address=host.relay.address,
+            born=self._replica_count,
+            **changes,
+        )
+
+    async def _inject_and_record(self, scheduled: ScheduledFault) -> None:
+        starts_at = time.time()
+        name, had_effect = await self._apply_fault(scheduled)
+        if scheduled.fault not in _PLANNED_OPERATIONS:
+            # Connections that were open may stay silent or cut for a while.
+            ends_at = time.time() + FAULT_FREE_S
+            self.observations.unplanned_faults.append(
+                Interval(starts_at, ends_at, name)
+            )
+        if not had_effect():
+            self.observations.faults_without_effect.append(
+                f'{scheduled.fault.value} of {name}'
+            )
+
+    async def _apply_fault(
+        self, scheduled: ScheduledFault
+    ) -> tuple[str, EffectCheck]:
+        """Apply a fault; return its subject and a check of its effect."""
+        target_kind = scheduled.fault.value.partition('-')[0]
+        if target_kind == 'store':
+            return STORE, await self._inject_store_fault(scheduled)
+        if target_kind == 'replica':
+            host = self._hosts[scheduled.target % len(self._hosts)]
+            name = host.replica.name
+            return name, await self._inject_replica_fault(scheduled, host)
+        if scheduled.fault is Fault.CONFIGURATION_CHANGED:
+            return 'configuration', self._change_configuration()
+        if scheduled.fault is Fault.ALL_ENTRIES_KILLED:
+            return ALL_PROCESSES, await self._kill_all_entries()
+        entry = self.entries[scheduled.target % len(self.entries)]
+        return entry.host, await self._inject_entry_fault(scheduled, entry)
+
+    async def _inject_entry_fault(
+        self,
+        scheduled: ScheduledFault,
+        entry: EntryProcess,
+    ) -> EffectCheck:
+        if scheduled.fault is Fault.ENTRY_PAUSED:
+            entry.send_signal(signal.SIGSTOP)
+            await trio.sleep(scheduled.duration_s)
+            entry.send_signal(signal.SIGCONT)
+            return lambda: True
+        if scheduled.fault is Fault.ENTRY_RELOADED:
+            entry.change_settings(f'{self._fleet.settings(entry)}#\n')
+            entry.send_signal(signal.SIGHUP)
+            return lambda: True
+        if scheduled.fault is Fault.ENTRY_KILLED:
+            return await self._kill_entry(entry)
+        return await self._shut_down_entry(entry)
+
+    async def _kill_entry(self, entry: EntryProcess) -> EffectCheck:
+        async with self._locks[entry.host]:
+            entry.send_signal(signal.SIGKILL)
+            exit_code = await entry.wait()
+            await trio.sleep(RESTART_DELAY_S)
+            entry.start(self._fleet.settings(entry))
+        return lambda: exit_code == -signal.SIGKILL
+
+    async def _kill_all_entries(self) -> EffectCheck:
+        effect_checks: list[EffectCheck] = []
+
+        async def kill(entry: EntryProcess) -> None:
+            effect_checks.append(await self._kill_entry(entry))
+
+        async with trio.open_nursery() as nursery:
+            for entry in self.entries:
+                nursery.start_soon(kill, entry)
+        return lambda: all(check() for check in effect_checks)
+
+    async def _shut_down_entry(self, entry: EntryProcess) -> EffectCheck:
+        async with self._locks[entry.host]:
+            started_at = time.time()
+            was_listening = await trio.to_thread.run_sync(
+                is_listening, entry.address
+            )
+            entry.send_signal(signal.SIGTERM)
+            with trio.move_on_after(SHUTDOWN_TIMEOUT_S):
+                await entry.wait()
+            entry.send_signal(signal.SIGKILL)
+            exit_code = await entry.wait()
+            interval = Interval(started_at, time.time(), entry.host)
+            self.observations.shutdowns.append(interval)
+            entry.start(self._fleet.settings(entry))
+        # SIGTERM ends a process that does not listen yet.
+        expected_codes = (
+            {0, -signal.SIGKILL} if was_listening else {0, -signal.SIGTERM}
+        )
+        return lambda: exit_code in expected_codes
+
+    async def _inject_store_fault(
+        self, scheduled: ScheduledFault
+    ) -> EffectCheck:
+        log = self._fleet.log
+        calls_before = log.calls
+        connections_before = self._store_relay.connections
+        store_fault = _STORE_FAULTS.get(scheduled.fault)
+        if store_fault is not None:
+            log.fault = store_fault
+            await self._wait_for_effect(
+                scheduled, lambda: log.calls > calls_before
+            )
+            log.fault = StoreFault.NONE
+            return lambda: log.calls > calls_before
+        if scheduled.fault is Fault.STORE_COMPACTED:
+            topic = log.topic('keyed.servers')
+            topic.compact()
+            return lambda: not topic.records
+        await self._inject_path_fault(scheduled, self._store_relay)
+        return lambda: connections_before > 0
+
+    async def _inject_replica_fault(
+        self, scheduled: ScheduledFault, host: ReplicaHost
+    ) -> EffectCheck:
+        replica = host.replica
+        behaviour = _BEHAVIOURS.get(scheduled.fault)
+        if behaviour is not None:
+            calls_before = len(replica.executed) + replica.refused
+            replica.behaviour = behaviour
+            # Without a running entry no call reaches the replica.
+            await self._wait_for_effect(
+                scheduled,
+                lambda: self._was_called(host, replica, calls_before),
+            )
+            replica.behaviour = Behaviour.HEALTHY
+            return lambda: self._was_called(host, replica, calls_before)
+        if scheduled.fault is Fault.REPLICA_DRAINED:
+            return await self._drain(scheduled, host)
+        if scheduled.fault is Fault.REPLICA_REPLACED:
+            self._replace(host)
+            return lambda: host.replica is not replica
+        connections_before = host.relay.connections
+        await self._inject_path_fault(scheduled, host.relay)
+        return lambda: connections_before > 0 or not self._is_listed(host)
+
+    async def _inject_path_fault(
+        self, scheduled: ScheduledFault, relay: Relay
+    ) -> None:
+        effect = scheduled.fault.value.rpartition('-')[2]
+        if effect == 'reset':
+            relay.cut()
+        elif effect == 'silenced':
+            relay.blackhole()
+        elif effect == 'deaf':
+            relay.blackhole_replies()
+        else:
+            relay.delay(PATH_DELAY_MS)
+            await trio.sleep(scheduled.duration_s)
+            relay.delay(0)
+
+    async def _drain(
+        self, scheduled: ScheduledFault, host: ReplicaHost
+    ) -> EffectCheck:
+        replica = host.replica
+        announced_at = time.time()
+        self._write_record(host, state='draining')
+        await trio.sleep(DRAIN_GRACE_S + scheduled.duration_s)
+        if host.replica is replica:
+            interval = Interval(announced_at, time.time(), replica.name)
+            self.observations.drains.append(interval)
+            self._replace(host)
+        return lambda: host.replica is not replica
+
+    def _replace(self, host: ReplicaHost) -> None:
+        """Replace the replica at an address by a new one with another name."""
+        topic = self._fleet.log.topic('keyed.servers')
+        topic.put(host.replica.name, b'')
+        host.replica = self._make_replica()
+        self._write_record(host)
+
+    def _change_configuration(self) -> EffectCheck:
+        self._version += 1
+        text = make_configuration(self._version)
+        self._fleet.log.topic('keyed.op').put('config', text)
+        return lambda: True
+
+    def _is_listed(self, host: ReplicaHost) -> bool:
+        return (
+            host.replica.name in self._fleet.log.topic('keyed.servers').latest
+        )
+
+    def _was_called(
+        self, host: ReplicaHost, replica: Replica, calls_before: int
+    ) -> bool:
+        """Tell whether a replica has got more calls, or was replaced."""
+        if host.replica is not replica:
+            return True
+        return len(replica.executed) + replica.refused > calls_before
+
+    async def _wait_for_effect(
+        self, scheduled: ScheduledFault, had_effect: EffectCheck
+    ) -> None:
+        await trio.sleep(scheduled.duration_s)
+        with trio.move_on_after(MAX_EXTENSION_S):
+            while not had_effect():  # noqa: ASYNC110
+                await trio.sleep(RESTART_DELAY_S)
+
+
+def _address(relay: Relay) -> Address:
+    return parse_address(relay.address)
