--- a/tests/faults.py
+++ b/tests/faults.py
@@ -1,4 +1,4 @@
-"""Name the faults that are tried on a running fleet, and their ends."""
+"""Define the faults that tests inject into a running fleet."""
 
 from __future__ import annotations
 
@@ -11,56 +11,57 @@
 from .evidence import Seen
 
 Act = Callable[[Fleet], None]
-#: A filing takes some 20 ms where nothing is wrong.
+#: Response time that shows the effect of a fault, in seconds; a keyed request
+#: takes some 20 ms without one.
 WAITED_S = 1.0
-LATE_MS = 400.0
+RELAY_DELAY_MS = 400.0
 
 
 @dataclass(frozen=True)
 class Fault:
-    """Hold how a fault begins, how it ends, and how it is felt."""
+    """Define how a fault is injected, removed, and seen in the evidence."""
 
     name: str
     begin: Act
     end: Act
-    #: None where callers cannot notice it by itself.
+    #: None where callers cannot notice the fault by itself.
     felt: Callable[[Seen], bool] | None
 
 
-def _somebody_got_nothing(seen: Seen) -> bool:
+def _had_missing_responses(seen: Seen) -> bool:
     return seen.told['nothing'] > 0
 
 
-def _somebody_waited(seen: Seen) -> bool:
+def _had_long_waits(seen: Seen) -> bool:
     return seen.longest_s > WAITED_S
 
 
-def _a_peer_was_lost(seen: Seen) -> bool:
+def _lost_a_peer(seen: Seen) -> bool:
     return seen.peers_lost > 0
 
 
-def _all_were_slow(seen: Seen) -> bool:
-    return seen.longest_s > LATE_MS / 1000
+def _had_delayed_responses(seen: Seen) -> bool:
+    return seen.longest_s > RELAY_DELAY_MS / 1000
 
 
-def _somebody_was_unsure(seen: Seen) -> bool:
+def _had_unknown_outcomes(seen: Seen) -> bool:
     return seen.told['unknown 504'] > 0
 
 
-def _answers_were_lost(seen: Seen) -> bool:
+def _had_unanswered_appends(seen: Seen) -> bool:
     return seen.appends_unanswered > 0
 
 
-def _somebody_was_refused(seen: Seen) -> bool:
+def _had_refusals(seen: Seen) -> bool:
     return seen.told['not-run 503'] > 0
 
 
-def _victim(fleet: Fleet) -> UpstreamProcess:
+def _faulty_upstream(fleet: Fleet) -> UpstreamProcess:
     return fleet.upstreams_of(fleet.deployment.plain)[0]
 
 
-def _nothing(_fleet: Fleet) -> None:
-    """Leave all as it is."""
+def _no_action(_fleet: Fleet) -> None:
+    """Do nothing; the fault ends by itself."""
 
 
 def _restart_entry(fleet: Fleet) -> None:
@@ -68,20 +69,20 @@
     fleet.wait_entry_responds(fleet.entries[0])
 
 
-def _platform(**faults: object) -> Act:
+def _set_platform_faults(**faults: object) -> Act:
     return lambda fleet: fleet.set_platform_faults(**faults)
 
 
-def _upstream(**faults: object) -> Act:
-    return lambda fleet: _victim(fleet).set_faults(**faults)
+def _set_upstream_faults(**faults: object) -> Act:
+    return lambda fleet: _faulty_upstream(fleet).set_faults(**faults)
 
 
-def _relays(act: str, *arguments: object) -> Act:
-    def each(fleet: Fleet) -> None:
-        for one in fleet.upstreams_of(fleet.deployment.plain):
-            getattr(one.relay, act)(*arguments)
+def _act_on_relays(act: str, *arguments: object) -> Act:
+    def act_on_each(fleet: Fleet) -> None:
+        for upstream in fleet.upstreams_of(fleet.deployment.plain):
+            getattr(upstream.relay, act)(*arguments)
 
-    return each
+    return act_on_each
 
 
 FAULTS = (
@@ -89,76 +90,79 @@
         'entry killed',
         lambda fleet: fleet.entries[0].child.kill(),
         _restart_entry,
-        _somebody_got_nothing,
+        _had_missing_responses,
     ),
     Fault(
         'entry paused',
         lambda fleet: fleet.entries[0].child.pause(),
         lambda fleet: fleet.entries[0].child.resume(),
-        _somebody_waited,
+        _had_long_waits,
     ),
     Fault(
         'sidecar killed',
-        lambda fleet: _victim(fleet).sidecar.kill(),
-        lambda fleet: _victim(fleet).sidecar.restart(),
-        _a_peer_was_lost,
+        lambda fleet: _faulty_upstream(fleet).sidecar.kill(),
+        lambda fleet: _faulty_upstream(fleet).sidecar.restart(),
+        _lost_a_peer,
     ),
     Fault(
         'sidecar paused',
-        lambda fleet: _victim(fleet).sidecar.pause(),
-        lambda fleet: _victim(fleet).sidecar.resume(),
-        _a_peer_was_lost,
+        lambda fleet: _faulty_upstream(fleet).sidecar.pause(),
+        lambda fleet: _faulty_upstream(fleet).sidecar.resume(),
+        _lost_a_peer,
     ),
     Fault(
         'upstream paused',
-        lambda fleet: _victim(fleet).child.pause(),
-        lambda fleet: _victim(fleet).child.resume(),
-        _somebody_waited,
+        lambda fleet: _faulty_upstream(fleet).child.pause(),
+        lambda fleet: _faulty_upstream(fleet).child.resume(),
+        _had_long_waits,
     ),
     Fault(
         'upstream cuts',
-        _upstream(cut_after_bytes=9),
-        _upstream(cut_after_bytes=None),
-        _somebody_was_unsure,
+        _set_upstream_faults(cut_after_bytes=9),
+        _set_upstream_faults(cut_after_bytes=None),
+        _had_unknown_outcomes,
     ),
     Fault(
         'upstream stalls',
-        _upstream(stall=True),
-        _upstream(stall=False),
-        _somebody_waited,
+        _set_upstream_faults(stall=True),
+        _set_upstream_faults(stall=False),
+        _had_long_waits,
     ),
-    Fault('connections cut', _relays('cut'), _nothing, _a_peer_was_lost),
+    Fault('connections cut', _act_on_relays('cut'), _no_action, _lost_a_peer),
     Fault(
-        'connections silent', _relays('blackhole'), _nothing, _a_peer_was_lost
+        'connections silent',
+        _act_on_relays('blackhole'),
+        _no_action,
+        _lost_a_peer,
     ),
     Fault(
         'messages late',
-        _relays('delay', LATE_MS),
-        _relays('delay', 0),
-        _all_were_slow,
+        _act_on_relays('delay', RELAY_DELAY_MS),
+        _act_on_relays('delay', 0),
+        _had_delayed_responses,
     ),
     Fault(
         'log down',
-        _platform(log='down'),
-        _platform(log='up'),
-        _somebody_was_refused,
+        _set_platform_faults(log='down'),
+        _set_platform_faults(log='up'),
+        _had_refusals,
     ),
     Fault(
         'log slow',
-        _platform(log='slow'),
-        _platform(log='up'),
-        _somebody_waited,
+        _set_platform_faults(log='slow'),
+        _set_platform_faults(log='up'),
+        _had_long_waits,
     ),
     Fault(
         'log loses answers',
-        _platform(log='lose_answers'),
-        _platform(log='up'),
-        _answers_were_lost,
+        _set_platform_faults(log='lose_answers'),
+        _set_platform_faults(log='up'),
+        _had_unanswered_appends,
     ),
     Fault(
         'host list lags',
-        _platform(hosts_lag_ms=10_000),
-        _platform(hosts_lag_ms=0),
+        _set_platform_faults(hosts_lag_ms=10_000),
+        _set_platform_faults(hosts_lag_ms=0),
         None,
     ),
 )
--- a/tests/test_calling.py
+++ b/tests/test_calling.py
@@ -1,4 +1,4 @@
-"""Give each process of a fleet a port of its own, and wait until it listens."""
+"""Test the allotment of free ports to the processes of test fleets."""
 
 from __future__ import annotations
 
@@ -14,24 +14,26 @@
 )
 
 
-def test_no_port_is_given_out_twice() -> None:
+def test_no_port_is_allotted_twice() -> None:
     first = free_ports(100)
     second = free_ports(100)
     assert not set(first) & set(second)
 
 
-def test_processes_that_run_tests_share_no_port() -> None:
+def test_test_workers_have_disjoint_port_ranges() -> None:
     first, second = worker_ports('gw0'), worker_ports('gw1')
     assert not set(first) & set(second)
     assert worker_ports('') == first
 
 
-def test_a_port_in_use_is_not_given_out() -> None:
-    with socket.socket() as taken:
-        taken.bind((LOOPBACK, 0))
-        taken.listen()
-        port = taken.getsockname()[1]
+def test_a_port_in_use_is_not_allotted() -> None:
+    with socket.socket() as listener:
+        listener.bind((LOOPBACK, 0))
+        listener.listen()
+        port = listener.getsockname()[1]
         assert is_listening(f'http://{LOOPBACK}:{port}')
-        dealt = itertools.islice(iterate_free_ports(range(port, port + 3)), 4)
-        assert port not in dealt
+        allotted = itertools.islice(
+            iterate_free_ports(range(port, port + 3)), 4
+        )
+        assert port not in allotted
     assert not is_listening(f'http://{LOOPBACK}:{port}')
