--- a/tests/faults.py
+++ b/tests/faults.py
@@ -25,7 +25,7 @@
     begin: Act
     end: Act
     #: None where callers cannot notice the fault by itself.
-    felt: Callable[[Seen], bool] | None
+    had_effect: Callable[[Seen], bool] | None
 
 
 def _had_missing_responses(seen: Seen) -> bool:
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -192,7 +192,9 @@
         outcome_counts, workload.max_duration_s, lost_count, unanswered
     )
     # One of two faults may mask the other, so one visible effect is enough.
-    checks = [fault.felt for fault in faults if fault.felt is not None]
+    checks = [
+        fault.had_effect for fault in faults if fault.had_effect is not None
+    ]
     assert not checks or any(check(evidence) for check in checks), evidence
 
 
