--- a/tests/faults.py
+++ b/tests/faults.py
@@ -22,7 +22,7 @@
     """Define how a fault is injected, removed, and seen in the evidence."""
 
     name: str
-    begin: Act
+    inject: Act
     end: Act
     #: None where callers cannot notice the fault by itself.
     had_effect: Callable[[Seen], bool] | None
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -206,7 +206,7 @@
     """
     try:
         for fault in reversed(faults):
-            fault.begin(fleet)
+            fault.inject(fleet)
         time.sleep(FAULT_S)
     finally:
         for fault in faults:
