--- a/tests/faults.py
+++ b/tests/faults.py
@@ -23,7 +23,7 @@
 
     name: str
     inject: Act
-    end: Act
+    remove: Act
     #: None where callers cannot notice the fault by itself.
     had_effect: Callable[[Seen], bool] | None
 
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -210,4 +210,4 @@
         time.sleep(FAULT_S)
     finally:
         for fault in faults:
-            fault.end(fleet)
+            fault.remove(fleet)
