--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -15,7 +15,7 @@
 from standins.platformfleet import platform_fleet
 
 from .callers import Caller
-from .invariants import Observations, find_violations
+from .promises import Observations, find_violations
 from .schedule import schedule_faults
 from .testbed import Testbed
 
--- a/soak/testbed.py
+++ b/soak/testbed.py
@@ -26,7 +26,7 @@
 from standins.relay import Relay
 from standins.replica import Behaviour, Replica
 
-from .invariants import (
+from .promises import (
     ALL_PROCESSES,
     DRAIN_GRACE_S,
     FAULT_FREE_S,
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -6,7 +6,7 @@
 
 from soak.__main__ import RunSize, soak_once
 from soak.callers import CallKind, CallRecord, expected_body
-from soak.invariants import (
+from soak.promises import (
     ALL_PROCESSES,
     Execution,
     Interval,
