--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -75,14 +75,14 @@
 
 @_app.command()
 def main(
-    seeds: Annotated[int, typer.Option(help='Fresh seeds to run.')] = 5,
-    seconds: Annotated[float, typer.Option(help='Time of faults.')] = 12,
-    first: Annotated[int, typer.Option(help='First seed; drawn if 0.')] = 0,
+    seeds: Annotated[int, typer.Option(help='New seeds to run.')] = 5,
+    seconds: Annotated[float, typer.Option(help='Seconds of faults.')] = 12,
+    first: Annotated[int, typer.Option(help='First new seed; 0: random.')] = 0,
     entries: Annotated[int, typer.Option(help='Entry processes.')] = 3,
     replicas: Annotated[int, typer.Option(help='Replicas.')] = 6,
-    callers: Annotated[int, typer.Option(help='Callers at a time.')] = 8,
+    callers: Annotated[int, typer.Option(help='Concurrent callers.')] = 8,
 ) -> None:
-    """Run failed and fresh seeds; exit with 1 if a guarantee was violated."""
+    """Run failed and new seeds; exit with 1 if a guarantee was violated."""
     size = RunSize(seconds, entries, replicas, callers)
     start = first or random.SystemRandom().randrange(1, MAX_SEED)
     selected = [*failed_seeds(), *range(start, start + seeds)]
--- a/soak/testbed.py
+++ b/soak/testbed.py
@@ -318,7 +318,7 @@
         if behaviour is not None:
             calls_before = len(replica.executed) + replica.refused
             replica.behaviour = behaviour
-            # Without a running entry no call reaches the replica.
+            # No call reaches the replica while all entries are restarting.
             await self._wait_for_effect(
                 scheduled,
                 lambda: self._was_called(host, replica, calls_before),
--- a/standins/group.py
+++ b/standins/group.py
@@ -87,7 +87,7 @@
         if name == 'arm':
             return self._arm(order, step)
         if self.armed is None or self.armed.version != order.version:
-            # The order is idempotent: the map is in use or cancelled already.
+            # A repeated order: its map is in use or cancelled already.
             return name == 'cancel' or self.version == order.version
         if name == 'release':
             self.confirmed = True
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -3,7 +3,7 @@
 Run as ``python -m standins.platform HOST:PORT``. ``POST /control/faults`` takes
 ``{"log": "up" | "down" | "slow" | "lose_answers"}``, ``{"hosts_lag_ms": n}``,
 ``{"retention_ms": n}`` and ``{"weights_per_s": n}``; ``POST /control/hosts``
-sets the true list of hosts.
+sets the list of hosts, which ``/hosts`` shows ``hosts_lag_ms`` later.
 """
 
 from __future__ import annotations
@@ -43,20 +43,20 @@
 class Stream:
     """Hold a stream of the log: offset, time in ms and text of each record."""
 
-    first: int = 1
+    first_offset: int = 1
     records: list[tuple[int, int, bytes]] = field(default_factory=list)
     appended: trio.Event = field(default_factory=trio.Event)
 
     def append(self, text: bytes) -> int:
         """Append a record and return its offset."""
-        offset = self.first + len(self.records)
+        offset = self.first_offset + len(self.records)
         self.records.append((offset, _wall_clock_ms(), text))
         self.wake_readers()
         return offset
 
     def records_after(self, offset: int) -> list[tuple[int, int, bytes]]:
         """Return the first records above an offset, at most 500."""
-        start = max(0, offset + 1 - self.first)
+        start = max(0, offset + 1 - self.first_offset)
         return self.records[start : start + _MAX_RECORDS]
 
     def trim(self, retention_ms: float) -> None:
@@ -64,7 +64,7 @@
         oldest = _wall_clock_ms() - retention_ms
         while self.records and self.records[0][1] < oldest:
             self.records.pop(0)
-            self.first += 1
+            self.first_offset += 1
 
     def wake_readers(self) -> None:
         """Wake the reads that wait for a record."""
@@ -152,7 +152,7 @@
             for record_offset, appended_ms, text in stream.records_after(offset)
         ]
         page = {
-            'first': stream.first,
+            'first': stream.first_offset,
             'retention_ms': int(self._retention_ms),
             'records': records,
         }
@@ -182,7 +182,7 @@
                 self._hosts.append((_wall_clock_ms(), content['hosts']))
             case '/control/counts':
                 counts = {
-                    name: stream.first + len(stream.records) - 1
+                    name: stream.first_offset + len(stream.records) - 1
                     for name, stream in self._streams.items()
                 }
                 await send_json(reply, {'appends': self._appends, **counts})
--- a/standins/replica.py
+++ b/standins/replica.py
@@ -46,8 +46,9 @@
 class Replica:
     """Execute calls, record them, and respond as ``behaviour`` says.
 
-    ``executed`` has the calls that began; ``pause_s`` is the time of a call
-    and between two events of a stream, in seconds.
+    ``executed`` has the calls that began, ``refused`` and ``cancelled`` count
+    calls. ``pause_s`` is the time of a call and between two events of a stream,
+    in seconds. ``record_run`` is called as a call begins.
     """
 
     name: str
