--- a/tests/client.py
+++ b/tests/client.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from standins.calling import Answer, http_call
+from standins.calling import Response, http_call
 from standins.fleet import Fleet
 from standins.launch import EntryProcess
 
@@ -20,7 +20,7 @@
     prompt: str,
     tokens: int = 5,
     **extra: object,
-) -> Answer:
+) -> Response:
     """Request a chat completion, streamed unless ``extra`` has another value.
 
     ``extra`` replaces or adds fields of the request's body.
@@ -49,7 +49,7 @@
     body: dict[str, object] | None = None,
     headers: dict[str, str] | None = None,
     timeout: float = 30,
-) -> Answer:
+) -> Response:
     """Send a non-idempotent request with an idempotency key.
 
     ``number`` is that of the organisation; ``timeout`` is in seconds.
--- a/tests/rankbench.py
+++ b/tests/rankbench.py
@@ -87,10 +87,10 @@
 
     async def run_steps(self) -> None:
         while True:
-            ready = not any(engine.holds(self.step) for engine in self.engines)
+            ready = not any(engine.is_holding(self.step) for engine in self.engines)
             if ready:
                 for engine in self.engines:
-                    engine.begin(self.step)
+                    engine.start_step(self.step)
                 self.step += 1
             self.held_polls += not ready
             await trio.sleep(STEP_S)
@@ -157,7 +157,7 @@
 
     def mixed_steps(self) -> list[int]:
         """Return the steps at which ranks used different versions."""
-        return mixed_steps([engine.used for engine in self.engines])
+        return mixed_steps([engine.used_versions for engine in self.engines])
 
 
 def mixed_steps(histories: list[VersionHistory]) -> list[int]:
@@ -223,11 +223,11 @@
             # The response is lost, and the order takes effect late or never.
             trio.lowlevel.spawn_system_task(self._apply_late, name, order)
             return False
-        return self._engine.order(name, order, self._simulation.step)
+        return self._engine.apply_order(name, order, self._simulation.step)
 
     async def _apply_late(self, name: str, order: MapOrder) -> None:
         await trio.sleep(self._simulation.random.uniform(0, MAX_EFFECT_S))
-        self._engine.order(name, order, self._simulation.step)
+        self._engine.apply_order(name, order, self._simulation.step)
 
 
 class LateReleaseEngine(MemoryEngine):
@@ -261,7 +261,7 @@
     def _apply(self, due: list[tuple[float, MapOrder]]) -> None:
         for sent in due:
             self._delayed_releases.remove(sent)
-            self._engine.order('release', sent[1], self._simulation.step)
+            self._engine.apply_order('release', sent[1], self._simulation.step)
 
 
 class MemoryWeights:
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -90,7 +90,7 @@
     key = 'before-the-outage'
     first_response = submit_order(faulty_fleet, faulty_fleet.entries[0], key)
     restarted_entry = faulty_fleet.entries[1]
-    faulty_fleet.fault_platform(log='down')
+    faulty_fleet.set_platform_faults(log='down')
     restarted_entry.child.kill()
     restarted_entry.child.restart()
     try:
@@ -100,7 +100,7 @@
             faulty_fleet, restarted_entry, 'in-the-outage'
         )
     finally:
-        faulty_fleet.fault_platform(log='up')
+        faulty_fleet.set_platform_faults(log='up')
     assert (retried.status, retried.body) == (200, first_response.body)
     assert (new_key_response.status, new_key_response.headers['x-outcome']) == (
         503,
@@ -119,11 +119,11 @@
     restarted_entry = faulty_fleet.entries[1]
     paused_sidecars = [
         upstream.sidecar
-        for upstream in faulty_fleet.of_service('sportello')
+        for upstream in faulty_fleet.upstreams_of('sportello')
         if not _has_run(upstream, key)
     ]
     assert len(paused_sidecars) == 2
-    faulty_fleet.fault_platform(log='down')
+    faulty_fleet.set_platform_faults(log='down')
     restarted_entry.child.kill()
     restarted_entry.child.restart()
     try:
@@ -135,21 +135,21 @@
     finally:
         for sidecar in paused_sidecars:
             sidecar.resume()
-        faulty_fleet.fault_platform(log='up')
+        faulty_fleet.set_platform_faults(log='up')
     assert (retried.status, retried.body) == (200, first_response.body)
 
 
 def test_lost_list_outlives_the_log_retention(faulty_fleet: Fleet) -> None:
     key = 'lost-for-long'
     lose_key(faulty_fleet, key)
-    faulty_fleet.fault_platform(retention_ms=RETENTION_MS)
+    faulty_fleet.set_platform_faults(retention_ms=RETENTION_MS)
     try:
         wait_until(lambda: _only_lost_keys_remain(faulty_fleet))
         time.sleep(2 * RETENTION_MS / 1000)
         assert key in lost_keys(faulty_fleet)
         retried = submit_order(faulty_fleet, faulty_fleet.entries[1], key)
     finally:
-        faulty_fleet.fault_platform(retention_ms=DAY_MS)
+        faulty_fleet.set_platform_faults(retention_ms=DAY_MS)
     assert (retried.status, retried.json()['reason']) == (409, 'key-lost')
 
 
@@ -193,7 +193,9 @@
         outcome_counts, workload.max_duration_s, lost_peer_count, unanswered
     )
     # One of two faults may mask the other, so one visible effect is enough.
-    checks = [fault.felt for fault in faults if fault.felt is not None]
+    checks = [
+        fault.had_effect for fault in faults if fault.had_effect is not None
+    ]
     assert not checks or any(check(evidence) for check in checks), evidence
 
 
@@ -205,8 +207,8 @@
     """
     try:
         for fault in reversed(faults):
-            fault.begin(fleet)
+            fault.inject(fleet)
         time.sleep(FAULT_S)
     finally:
         for fault in faults:
-            fault.end(fleet)
+            fault.remove(fleet)
--- a/tests/test_direct_path.py
+++ b/tests/test_direct_path.py
@@ -11,8 +11,8 @@
 from amaranthrail.exceptions import HttpError
 from amaranthrail.policy.shutdown import STREAM_ACCEPT_MS
 from standins.keyedlog import KeyedLog, StoreFault
-from standins.platformfleet import listen
-from standins.replica import EVENTS, Behaviour
+from standins.platformfleet import start_server
+from standins.replica import STREAM_EVENTS, Behaviour
 
 from .platformbench import PlatformBench, run_on_platform, wait_until
 from .platformbuild import configuration, route
@@ -20,12 +20,12 @@
 READ_ROUTE = route('read', 'idempotent', 'plain')
 COMPLETE_STREAM = b''.join(
     f'id: {number}\ndata: {number}\n\n'.encode()
-    for number in range(1, EVENTS + 1)
+    for number in range(1, STREAM_EVENTS + 1)
 )
 #: Faults in responses to executed calls; no caller may get such a response.
 UNUSABLE_RESPONSES = (
-    Behaviour.CUTTING,
-    Behaviour.CROSSED,
+    Behaviour.TRUNCATING,
+    Behaviour.WRONG_ATTEMPT_ID,
     Behaviour.UNSIGNED,
     Behaviour.ENCODED,
 )
@@ -68,7 +68,7 @@
         entry = await bench.start_entry()
         await entry.until_ready()
         assert (await entry.call(path, **headers)).status == status
-        assert not replica.ran
+        assert not replica.executed
 
     run_on_platform(scenario)
 
@@ -89,7 +89,10 @@
         response = await entry.call('/book/1', 'POST')
         # Not 503, which would state that the call has not run.
         assert response.status in {502, 504}
-        assert sum(len(replica.ran) for replica in bench.replicas.values()) == 1
+        assert (
+            sum(len(replica.executed) for replica in bench.replicas.values())
+            == 1
+        )
 
     run_on_platform(scenario)
 
@@ -130,7 +133,7 @@
 def test_a_call_without_response_is_refused_at_its_deadline() -> None:
     async def scenario(bench: PlatformBench) -> None:
         replica = await bench.add_replica('p1')
-        replica.behaviour = Behaviour.MUTE
+        replica.behaviour = Behaviour.UNRESPONSIVE
         entry = await bench.start_entry()
         await entry.until_ready()
         response = await entry.call(
@@ -144,7 +147,7 @@
 
 @pytest.mark.parametrize(
     'behaviour',
-    [Behaviour.CUTTING, Behaviour.CUTTING_IN_EVENT],
+    [Behaviour.TRUNCATING, Behaviour.TRUNCATING_IN_EVENT],
 )
 def test_a_cut_stream_resumes_at_another_replica(behaviour: Behaviour) -> None:
     async def scenario(bench: PlatformBench) -> None:
@@ -157,7 +160,7 @@
         response = await entry.call('/stream/1', 'POST')
         assert response.body == COMPLETE_STREAM
         assert response.header('replica-signature') == 'signed-e1'
-        assert good.ran[0].header('last-event-id') == '2'
+        assert good.executed[0].header('last-event-id') == '2'
 
     run_on_platform(scenario)
 
@@ -165,7 +168,7 @@
 def test_a_stream_that_cannot_resume_ends_with_an_error() -> None:
     async def scenario(bench: PlatformBench) -> None:
         bad = await bench.add_replica('e1', 'engine')
-        bad.behaviour = Behaviour.CUTTING
+        bad.behaviour = Behaviour.TRUNCATING
         entry = await bench.start_entry()
         await entry.until_ready()
         with pytest.raises(HttpError):
@@ -212,7 +215,7 @@
         assert (await entry.call('/read/1')).status == 503
         assert (await entry.call('/read/1')).status == 503
         assert replica.refused == 1
-        assert not replica.ran
+        assert not replica.executed
 
     run_on_platform(scenario)
 
@@ -243,7 +246,7 @@
         await entry.until_ready()
         bench.log.fault = StoreFault.REFUSING
         bench.configure(9)
-        bench.log.topic('keyed.op').forget_history()
+        bench.log.topic('keyed.op').compact()
         bench.log.fault = StoreFault.NONE
         await wait_until(lambda: entry.entry.cluster_state.version == 9)
 
@@ -280,7 +283,7 @@
         async with trio.open_nursery() as nursery:
             stale = KeyedLog()
             stale.topic('keyed.op').put('config', configuration(1))
-            address = await listen(nursery, stale.handle)
+            address = await start_server(nursery, stale.handle)
             settings = {
                 'seed_nodes': f'{first.address.host}:1',
                 'platform.address': str(address),
@@ -316,7 +319,7 @@
         async with trio.open_nursery() as nursery:
 
             async def stop() -> None:
-                await wait_until(lambda: bool(replica.ran))
+                await wait_until(lambda: bool(replica.executed))
                 entry.entry.stop()
 
             nursery.start_soon(stop)
@@ -349,13 +352,13 @@
         call_long = partial(entry.call, deadline_remaining_ms='8000')
         async with trio.open_nursery() as nursery:
             nursery.start_soon(call_long, '/stream/1', 'POST')
-            await wait_until(lambda: bool(slow.ran))
+            await wait_until(lambda: bool(slow.executed))
             entry.entry.stop()
             await trio.sleep(STREAM_ACCEPT_MS / 1000 + 0.1)
             response = await entry.call('/read/1')
-            assert (response.status, len(plain.ran)) == (200, 1)
+            assert (response.status, len(plain.executed)) == (200, 1)
             refused = await call_long('/stream/2', 'POST')
-        assert (refused.status, len(slow.ran)) == (503, 1)
+        assert (refused.status, len(slow.executed)) == (503, 1)
         assert refused.header('retry-after') == '0.000'
 
     run_on_platform(scenario)
@@ -368,7 +371,7 @@
         await entry.until_ready()
         response = await entry.call('/read/1', x_note='caf\xe9')
         assert response.status == 200
-        assert replica.ran[0].header('x-note') == 'caf\xe9'
+        assert replica.executed[0].header('x-note') == 'caf\xe9'
 
     run_on_platform(scenario)
 
@@ -389,9 +392,9 @@
         )
         bench.configure(2, routes=[fast_stream])
         stalled = await bench.add_replica('e1', 'engine')
-        stalled.behaviour = Behaviour.MUTE
+        stalled.behaviour = Behaviour.UNRESPONSIVE
         if silent_from != 'begin':
-            stalled.behaviour = Behaviour.STOPPING
+            stalled.behaviour = Behaviour.STALLING
         entry = await bench.start_entry()
         await entry.until_ready()
         call = partial(entry.call, deadline_remaining_ms='8000')
@@ -402,7 +405,7 @@
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(call_first)
-            await wait_until(lambda: bool(stalled.ran))
+            await wait_until(lambda: bool(stalled.executed))
             healthy = await bench.add_replica('e2', 'engine')
             healthy.pause_s = 0.05
             await wait_until(
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from standins.calling import Answer, answers, http_call, wait_until
+from standins.calling import Response, http_call, responds_ok, wait_until
 from standins.fleet import Fleet, running_fleet
 from standins.launch import FleetPlan, UpstreamProcess
 
@@ -42,11 +42,11 @@
 
 
 def _drain_by_operator(fleet: Fleet, upstream: UpstreamProcess) -> None:
-    assert fleet.command('drain', upstream.name).returncode == 0
+    assert fleet.run_command('drain', upstream.name).returncode == 0
 
 
 def _mark_in_host_list(fleet: Fleet, upstream: UpstreamProcess) -> None:
-    fleet.list_hosts(leaving=(upstream.name,))
+    fleet.set_hosts(draining=(upstream.name,))
 
 
 LAG_MS = 10_000
@@ -67,8 +67,8 @@
     order_drain: Callable[[Fleet, UpstreamProcess], None],
     lag_ms: int,
 ) -> None:
-    small_fleet.fault_platform(hosts_lag_ms=lag_ms)
-    upstream = small_fleet.of_service('redattore')[0]
+    small_fleet.set_platform_faults(hosts_lag_ms=lag_ms)
+    upstream = small_fleet.upstreams_of('redattore')[0]
     with ThreadPoolExecutor(8) as pool:
         started = [
             pool.submit(_request_draft, small_fleet, number)
@@ -87,12 +87,12 @@
     assert _count_runs(upstream) == before
 
 
-def _request_draft(fleet: Fleet, number: int) -> Answer:
+def _request_draft(fleet: Fleet, number: int) -> Response:
     entry = fleet.entries[number % 2]
     return request_completion(fleet, entry, f'prompt {number}', TOKENS)
 
 
-def _assert_complete(streams: list[Future[Answer]]) -> None:
+def _assert_complete(streams: list[Future[Response]]) -> None:
     for stream in streams:
         response = stream.result()
         assert response.status == 200
@@ -100,11 +100,11 @@
 
 
 def _wait_not_ready(address: str) -> None:
-    wait_until(lambda: not answers(address, '/readyz'), NO_NEW_WORK_S)
+    wait_until(lambda: not responds_ok(address, '/readyz'), NO_NEW_WORK_S)
 
 
 def test_sidecar_ends_after_its_last_response(small_fleet: Fleet) -> None:
-    upstream = small_fleet.of_service('redattore')[0]
+    upstream = small_fleet.upstreams_of('redattore')[0]
     with ThreadPoolExecutor(8) as pool:
         started = [
             pool.submit(_request_draft, small_fleet, number)
@@ -125,7 +125,7 @@
         started = [
             pool.submit(_request_draft, small_fleet, even) for even in evens
         ]
-        models = small_fleet.of_service('redattore')
+        models = small_fleet.upstreams_of('redattore')
         wait_until(lambda: sum(map(_count_runs, models)) >= len(evens))
         entry.child.send(signal.SIGTERM)
         _wait_not_ready(entry.admin)
@@ -137,7 +137,7 @@
 
 
 def test_killed_sidecar_gets_no_work(small_fleet: Fleet) -> None:
-    upstream = small_fleet.of_service('redattore')[0]
+    upstream = small_fleet.upstreams_of('redattore')[0]
     upstream.sidecar.kill()
     later = [_request_draft(small_fleet, number) for number in range(6)]
     assert [response.status for response in later] == [200 for _ in later]
