--- a/standins/platform.py
+++ b/standins/platform.py
@@ -112,7 +112,9 @@
         name = request.path.split('/')[2]
         return self._streams.setdefault(name, Stream())
 
-    async def _serve_log(self, request: HttpRequest, reply: ResponseWriter) -> None:
+    async def _serve_log(
+        self, request: HttpRequest, reply: ResponseWriter
+    ) -> None:
         # A handler that returns without a response closes the connection.
         if self._log_fault is LogFault.DOWN:
             return
--- a/standins/replica.py
+++ b/standins/replica.py
@@ -89,7 +89,9 @@
             headers.append(('content-encoding', 'gzip'))
         return tuple(headers)
 
-    async def _execute(self, request: HttpRequest, reply: ResponseWriter) -> None:
+    async def _execute(
+        self, request: HttpRequest, reply: ResponseWriter
+    ) -> None:
         if self.behaviour is Behaviour.UNRESPONSIVE:
             await trio.sleep_forever()
         await trio.sleep(self.pause_s)
--- a/tests/rankbench.py
+++ b/tests/rankbench.py
@@ -87,7 +87,9 @@
 
     async def run_steps(self) -> None:
         while True:
-            ready = not any(engine.is_holding(self.step) for engine in self.engines)
+            ready = not any(
+                engine.is_holding(self.step) for engine in self.engines
+            )
             if ready:
                 for engine in self.engines:
                     engine.start_step(self.step)
