--- a/src/amaranthrail/sidecar/gate.py
+++ b/src/amaranthrail/sidecar/gate.py
@@ -148,14 +148,12 @@
         if dispatch.incarnation != self._incarnation:
             return not_run(Reason.WRONG_INCARNATION, 'the sidecar restarted')
         if dispatch.request in self._voided or dispatch.intent in self._voided:
-            return not_run(
-                Reason.VOIDED, 'voided by a query or an earlier refusal'
-            )
+            return not_run(Reason.VOIDED, 'asked after before it arrived')
         age_ms = self._clock.now() - dispatch.clock
         if age_ms > MAX_DISPATCH_AGE_MS:
             return not_run(
                 Reason.STALE_DISPATCH,
-                f'based on a heartbeat {age_ms:.0f} ms old',
+                f'sent on a heartbeat {age_ms:.0f} ms old',
             )
         if dispatch.manifest_version < self._configuration.version:
             return not_run(
@@ -163,7 +161,7 @@
                 f'version {self._configuration.version} is in force',
             )
         if self.is_draining:
-            return not_run(Reason.DRAINING, 'the upstream is draining')
+            return not_run(Reason.DRAINING, 'the upstream is leaving')
         return None
 
 
--- a/src/amaranthrail/sidecar/peers.py
+++ b/src/amaranthrail/sidecar/peers.py
@@ -242,9 +242,7 @@
     def _handle_key_query(self, query: KeyQuery) -> None:
         run = self._context.gate.find_run_by_key(query.key)
         if run is None:
-            self._refuse(
-                query.request, Reason.KEY_UNKNOWN, 'no run with this key'
-            )
+            self._refuse(query.request, Reason.KEY_UNKNOWN, 'never ran here')
             return
         self._send_response(query.request, run)
 
@@ -272,9 +270,7 @@
         progress: Progress = NOTHING_SENT,
     ) -> None:
         if run is None:
-            self._refuse(
-                request, Reason.VOIDED, 'no run with this id; it is now void'
-            )
+            self._refuse(request, Reason.VOIDED, 'never arrived')
             return
         self._stop_sending(request)
         listener = self._make_listener(RequestId(request), run, progress)
--- a/src/amaranthrail/sidecar/rank.py
+++ b/src/amaranthrail/sidecar/rank.py
@@ -152,7 +152,7 @@
     async def _report_state(self) -> AnyReply:
         state = await self._engine.state()
         if state is None:
-            return self._decline('the engine does not respond')
+            return self._decline('the engine does not answer')
         # A release may take effect although its response was lost, so a map
         # that this sidecar has confirmed is reported as confirmed.
         released = bool(state.armed) and state.armed == self._confirmed_version
--- a/src/amaranthrail/sidecar/worker.py
+++ b/src/amaranthrail/sidecar/worker.py
@@ -71,7 +71,7 @@
             waited_ms = self._runtime.clock.now() - run.arrived_at
             self._runtime.metrics.latency('queue_wait').record(waited_ms)
             if self._would_miss_deadline(run):
-                detail = 'too little time was left when it got a slot'
+                detail = 'too little time was left at its turn'
                 self._fail(run, not_run(Reason.EXPIRED, detail))
                 return
             await self._send(run)
