--- a/src/amaranthrail/sidecar/coordinator.py
+++ b/src/amaranthrail/sidecar/coordinator.py
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupState:
-    """Hold the state of every rank, as promised to one ballot.
+    """Hold the states that all ranks reported with a promise to one ballot.
 
     A ballot needs the promises of all ranks; a majority is not enough.
     """
@@ -235,7 +235,7 @@
     ) -> bool:
         """Send orders in parallel; tell whether every rank replied Done."""
         by_rank = {state.rank: make_order(state) for state in states}
-        replies = await self._query(list(by_rank), by_rank.__getitem__)
+        replies = await self._send_orders(list(by_rank), by_rank.__getitem__)
         self._record_declined(replies)
         return all(isinstance(reply, Done) for reply in replies)
 
@@ -243,28 +243,32 @@
         self,
         make_order: Callable[[int], AnyOrder],
     ) -> list[AnyReply | None]:
-        return await self._query(range(self._group_size), make_order)
+        return await self._send_orders(range(self._group_size), make_order)
 
-    async def _query(
+    async def _send_orders(
         self,
         ranks: Sequence[int],
         make_order: Callable[[int], AnyOrder],
     ) -> list[AnyReply | None]:
         replies: list[AnyReply | None] = []
 
-        async def query(rank: int) -> None:
+        async def send_order(rank: int) -> None:
             replies.append(await self._send(rank, make_order(rank)))
 
         async with trio.open_nursery() as nursery:
             for rank in ranks:
-                nursery.start_soon(query, rank)
+                nursery.start_soon(send_order, rank)
         return replies
 
     def _record_declined(
         self,
         replies: Sequence[AnyReply | None],
     ) -> ChangeResult:
-        """Raise the ballot number to the highest that a rank has promised."""
+        """Raise the ballot number to the highest that a rank has promised.
+
+        The coordinator's next ballot must exceed it. Return OUTBID if a rank
+        had promised this number or a higher one, and otherwise RANK_MISSING.
+        """
         outbid = False
         for reply in replies:
             if isinstance(reply, Declined):
--- a/src/amaranthrail/sidecar/gate.py
+++ b/src/amaranthrail/sidecar/gate.py
@@ -1,4 +1,4 @@
-"""Run each attempt at most once and keep every "not run" refusal final."""
+"""Admit each attempt at most once and keep every "not run" refusal final."""
 
 from __future__ import annotations
 
@@ -16,17 +16,18 @@
 VOID_RETENTION_MS = 4 * MAX_DISPATCH_AGE_MS
 #: How long an ended keyed run stays available to queries.
 KEYED_RETENTION_MS = 900_000.0
-#: How long an ended idempotent run is kept for its entry to receive the rest
-#: of the response.
+#: How long an ended run can be found by its request id, for its entry to
+#: receive the rest of the response. A keyed run stays longer under its intent.
 RESPONSE_RETENTION_MS = 30_000.0
 
 
 class DispatchGate:
     """Admit, deduplicate or refuse the dispatches for this upstream.
 
-    Runs are indexed by request id and, for keyed work, by intent. A voided id
-    is refused for as long as a duplicate of its dispatch could be under the
-    age limit; after that the duplicate is refused as stale.
+    Runs are indexed by request id and, for work with an idempotency key, by
+    that key and by intent, the id of one attempt. A voided id is refused for as
+    long as a duplicate of its dispatch could be under the age limit; after that
+    the duplicate is refused as stale.
     """
 
     def __init__(
--- a/src/amaranthrail/sidecar/group.py
+++ b/src/amaranthrail/sidecar/group.py
@@ -18,6 +18,8 @@
 from .rank import RankAcceptor
 from .rankconnection import ORDER_TIMEOUT_MS, PREPARE_TIMEOUT_MS, RankConnection
 
+#: Pause between two cycles of the leader, each of which collects the promises
+#: of all ranks and may change the map.
 CYCLE_INTERVAL_MS = 500.0
 _HOSTS_INTERVAL_MS = 2000.0
 #: Step time of the group, in milliseconds, that is lost to the transfer of one
--- a/src/amaranthrail/sidecar/peers.py
+++ b/src/amaranthrail/sidecar/peers.py
@@ -284,7 +284,7 @@
         run: Run,
         progress: Progress,
     ) -> ChangeListener:
-        """Return a function that sends what of a response is not sent yet."""
+        """Return a listener that sends the frames that an entry still lacks."""
 
         def send_new_frames() -> None:
             nonlocal progress
--- a/src/amaranthrail/sidecar/rank.py
+++ b/src/amaranthrail/sidecar/rank.py
@@ -74,7 +74,8 @@
     def can_lead(self) -> bool:
         """Tell whether no lower rank holds the leader lease.
 
-        The lease is longer for a higher rank.
+        The lease is longer for a higher rank, so that when it expires the next
+        lowest rank leads first.
         """
         if self._last_leader is None:
             return (
@@ -155,8 +156,10 @@
             return self._decline('the engine does not answer')
         # A release may take effect although its response was lost, so a map
         # that this sidecar has confirmed is reported as confirmed.
-        released = bool(state.armed) and state.armed == self._confirmed_version
-        confirmed = state.confirmed or released
+        confirmed_here = (
+            bool(state.armed) and state.armed == self._confirmed_version
+        )
+        confirmed = state.confirmed or confirmed_here
         return RankState(self._incarnation, self._number, state, confirmed)
 
     def _decline(self, reason: str) -> Declined:
--- a/src/amaranthrail/sidecar/rankconnection.py
+++ b/src/amaranthrail/sidecar/rankconnection.py
@@ -25,6 +25,7 @@
 from ..runtime import Runtime
 from ..settings import SidecarSettings
 
+#: How long to wait for the reply to an order that is not a prepare order.
 ORDER_TIMEOUT_MS = 1500.0
 _RECONNECT_MS = 200.0
 #: Prepare orders wait for weights, which the store delivers at a limited rate.
--- a/src/amaranthrail/sidecar/run.py
+++ b/src/amaranthrail/sidecar/run.py
@@ -232,7 +232,7 @@
 
 
 def _no_subscription() -> None:
-    """Stand for the end of a subscription to a run that had ended before."""
+    """Unsubscribe from a run that had ended before: do nothing."""
 
 
 def _refused_frame(
--- a/src/amaranthrail/sidecar/slots.py
+++ b/src/amaranthrail/sidecar/slots.py
@@ -56,7 +56,10 @@
         self._start_next()
 
     def outstanding_work(self, *, long: bool) -> Work:
-        """Return the queued and running short or long work, with time left."""
+        """Return the count and time left of the work that is queued or running.
+
+        ``long`` selects the long or the short work.
+        """
         now = self._clock.now()
         costs = [work.cost_ms for work in self._waiting if work.long is long]
         costs += [
--- a/src/amaranthrail/sidecar/worker.py
+++ b/src/amaranthrail/sidecar/worker.py
@@ -51,7 +51,7 @@
         self._upstream = upstream
 
     async def execute(self, run: Run) -> None:
-        """Carry a run to its end: a complete response or a failure."""
+        """Execute a run until it has a complete response or a failure."""
         with run.scope:
             run.scope.deadline = (
                 trio.current_time() + run.dispatch.left_ms / MS_PER_SECOND
@@ -97,9 +97,11 @@
             self._fail(run, _refusal_from(error))
 
     async def _exchange_with_retry(self, run: Run) -> None:
-        """Exchange once; repeat if the pooled connection had been closed.
+        """Exchange once; retry on a new connection if a pooled one failed.
 
-        Keyed work always uses a new connection and is never repeated.
+        The upstream may have closed a pooled connection while it was idle. A
+        response that has begun is not retried. Keyed work always uses a new
+        connection and is never retried.
         """
         if run.dispatch.intent:
             await self._exchange(run, fresh=True)
@@ -127,9 +129,9 @@
                 await self._read_body(run, exchange)
 
     async def _read_body(self, run: Run, exchange: HttpExchange) -> None:
-        async with aclosing(exchange.body_chunks()) as parts:
-            async for part in parts:
-                run.append_body(part)
+        async with aclosing(exchange.body_chunks()) as chunks:
+            async for chunk in chunks:
+                run.append_body(chunk)
                 if (
                     run.dispatch.intent
                     and run.length > MAX_KEYED_RESPONSE_BYTES
--- a/tests/rankbench.py
+++ b/tests/rankbench.py
@@ -231,7 +231,7 @@
 
 
 class LateReleaseEngine(MemoryEngine):
-    """Delay releases as long as possible: until just before a cancel."""
+    """Delay each release by MAX_EFFECT_S, or until just before a cancel."""
 
     def __init__(self, simulation: GroupSimulation, engine: RankEngine) -> None:
         super().__init__(simulation, engine)
