--- a/src/amaranthrail/sidecar/rank.py
+++ b/src/amaranthrail/sidecar/rank.py
@@ -28,7 +28,7 @@
 #: last order that an earlier incarnation sent to an engine without fencing has
 #: arrived there.
 STARTUP_QUIET_MS = 1500.0
-#: A lower rank that has asked for no promise for this long is not the leader.
+#: A lower rank that has sent no promise order for this long is not the leader.
 LEADER_LEASE_MS = 3000.0
 
 
--- a/src/amaranthrail/sidecar/worker.py
+++ b/src/amaranthrail/sidecar/worker.py
@@ -104,16 +104,16 @@
         connection and is never retried.
         """
         if run.dispatch.intent:
-            await self._exchange(run, fresh=True)
+            await self._exchange(run, new_connection=True)
             return
         try:
-            await self._exchange(run, fresh=False)
+            await self._exchange(run, new_connection=False)
         except HttpError as error:
             if run.has_head or not error.pooled:
                 raise
-            await self._exchange(run, fresh=True)
+            await self._exchange(run, new_connection=True)
 
-    async def _exchange(self, run: Run, *, fresh: bool) -> None:
+    async def _exchange(self, run: Run, *, new_connection: bool) -> None:
         dispatch = run.dispatch
         with move_on_after(_exchange_timeout_ms(run)):
             async with self._upstream.exchange(
@@ -121,7 +121,7 @@
                 dispatch.target,
                 end_to_end_headers(dispatch.headers),
                 dispatch.body,
-                new_connection=fresh,
+                new_connection=new_connection,
             ) as exchange:
                 run.set_head(
                     exchange.status, end_to_end_headers(exchange.headers)
