--- a/src/amaranthrail/sidecar/gate.py
+++ b/src/amaranthrail/sidecar/gate.py
@@ -1,4 +1,4 @@
-"""Run each attempt at most once and keep every "not run" refusal final."""
+"""Admit each attempt at most once and keep every "not run" refusal final."""
 
 from __future__ import annotations
 
@@ -16,17 +16,18 @@
 VOID_RETENTION_MS = 4 * MAX_DISPATCH_AGE_MS
 #: How long an ended keyed run stays available to queries.
 KEYED_RETENTION_MS = 900_000.0
-#: How long an ended idempotent run is kept for its entry to receive the rest
-#: of the response.
+#: How long an ended run can be found by its request id, for its entry to
+#: receive the rest of the response. A keyed run stays longer under its intent.
 RESPONSE_RETENTION_MS = 30_000.0
 
 
 class DispatchGate:
     """Admit, deduplicate or refuse the dispatches for this upstream.
 
-    Runs are indexed by request id and, for keyed work, by intent. A voided id
-    is refused for as long as a duplicate of its dispatch could be under the
-    age limit; after that the duplicate is refused as stale.
+    Runs are indexed by request id and, for work with an idempotency key, by
+    that key and by intent, the id of one attempt. A voided id is refused for as
+    long as a duplicate of its dispatch could be under the age limit; after that
+    the duplicate is refused as stale.
     """
 
     def __init__(
@@ -148,14 +149,12 @@
         if dispatch.incarnation != self._incarnation:
             return not_run(Reason.WRONG_INCARNATION, 'the sidecar restarted')
         if dispatch.request in self._voided or dispatch.intent in self._voided:
-            return not_run(
-                Reason.VOIDED, 'voided by a query or an earlier refusal'
-            )
+            return not_run(Reason.VOIDED, 'asked after before it arrived')
         age_ms = self._clock.now() - dispatch.clock
         if age_ms > MAX_DISPATCH_AGE_MS:
             return not_run(
                 Reason.STALE_DISPATCH,
-                f'based on a heartbeat {age_ms:.0f} ms old',
+                f'sent on a heartbeat {age_ms:.0f} ms old',
             )
         if dispatch.manifest_version < self._configuration.version:
             return not_run(
@@ -163,7 +162,7 @@
                 f'version {self._configuration.version} is in force',
             )
         if self.is_draining:
-            return not_run(Reason.DRAINING, 'the upstream is draining')
+            return not_run(Reason.DRAINING, 'the upstream is leaving')
         return None
 
 
--- a/src/amaranthrail/sidecar/rank.py
+++ b/src/amaranthrail/sidecar/rank.py
@@ -28,7 +28,7 @@
 #: last order that an earlier incarnation sent to an engine without fencing has
 #: arrived there.
 STARTUP_QUIET_MS = 1500.0
-#: A lower rank that has asked for no promise for this long is not the leader.
+#: A lower rank that has sent no promise order for this long is not the leader.
 LEADER_LEASE_MS = 3000.0
 
 
@@ -74,7 +74,8 @@
     def can_lead(self) -> bool:
         """Tell whether no lower rank holds the leader lease.
 
-        The lease is longer for a higher rank.
+        The lease is longer for a higher rank, so that when it expires the next
+        lowest rank leads first.
         """
         if self._last_leader is None:
             return (
@@ -152,11 +153,13 @@
     async def _report_state(self) -> AnyReply:
         state = await self._engine.state()
         if state is None:
-            return self._decline('the engine does not respond')
+            return self._decline('the engine does not answer')
         # A release may take effect although its response was lost, so a map
         # that this sidecar has confirmed is reported as confirmed.
-        released = bool(state.armed) and state.armed == self._confirmed_version
-        confirmed = state.confirmed or released
+        confirmed_here = (
+            bool(state.armed) and state.armed == self._confirmed_version
+        )
+        confirmed = state.confirmed or confirmed_here
         return RankState(self._incarnation, self._number, state, confirmed)
 
     def _decline(self, reason: str) -> Declined:
--- a/src/amaranthrail/sidecar/worker.py
+++ b/src/amaranthrail/sidecar/worker.py
@@ -51,7 +51,7 @@
         self._upstream = upstream
 
     async def execute(self, run: Run) -> None:
-        """Carry a run to its end: a complete response or a failure."""
+        """Execute a run until it has a complete response or a failure."""
         with run.scope:
             run.scope.deadline = (
                 trio.current_time() + run.dispatch.left_ms / MS_PER_SECOND
@@ -71,7 +71,7 @@
             waited_ms = self._runtime.clock.now() - run.arrived_at
             self._runtime.metrics.latency('queue_wait').record(waited_ms)
             if self._would_miss_deadline(run):
-                detail = 'too little time was left when it got a slot'
+                detail = 'too little time was left at its turn'
                 self._fail(run, not_run(Reason.EXPIRED, detail))
                 return
             await self._send(run)
@@ -97,21 +97,23 @@
             self._fail(run, _refusal_from(error))
 
     async def _exchange_with_retry(self, run: Run) -> None:
-        """Exchange once; repeat if the pooled connection had been closed.
+        """Exchange once; retry on a new connection if a pooled one failed.
 
-        Keyed work always uses a new connection and is never repeated.
+        The upstream may have closed a pooled connection while it was idle. A
+        response that has begun is not retried. Keyed work always uses a new
+        connection and is never retried.
         """
         if run.dispatch.intent:
-            await self._exchange(run, fresh=True)
+            await self._exchange(run, new_connection=True)
             return
         try:
-            await self._exchange(run, fresh=False)
+            await self._exchange(run, new_connection=False)
         except HttpError as error:
             if run.has_head or not error.pooled:
                 raise
-            await self._exchange(run, fresh=True)
+            await self._exchange(run, new_connection=True)
 
-    async def _exchange(self, run: Run, *, fresh: bool) -> None:
+    async def _exchange(self, run: Run, *, new_connection: bool) -> None:
         dispatch = run.dispatch
         with move_on_after(_exchange_timeout_ms(run)):
             async with self._upstream.exchange(
@@ -119,7 +121,7 @@
                 dispatch.target,
                 end_to_end_headers(dispatch.headers),
                 dispatch.body,
-                new_connection=fresh,
+                new_connection=new_connection,
             ) as exchange:
                 run.set_head(
                     exchange.status, end_to_end_headers(exchange.headers)
@@ -127,9 +129,9 @@
                 await self._read_body(run, exchange)
 
     async def _read_body(self, run: Run, exchange: HttpExchange) -> None:
-        async with aclosing(exchange.body_chunks()) as parts:
-            async for part in parts:
-                run.append_body(part)
+        async with aclosing(exchange.body_chunks()) as chunks:
+            async for chunk in chunks:
+                run.append_body(chunk)
                 if (
                     run.dispatch.intent
                     and run.length > MAX_KEYED_RESPONSE_BYTES
